--- a/org.fawndrum/src/org/fawndrum/transport/relay/AttemptReports.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/AttemptEventForwarder.java
@@ -6,16 +6,17 @@
 import org.fawndrum.coordination.AttemptId;
 import org.fawndrum.state.HostIdentity;
 
-/** Tells the decisions what happens to attempts and callers. Safe for all threads. */
-record AttemptReports(Consumer<RelayEvent> decisions) implements RelayIntake.Attempts {
+/** Forwards events of attempts and callers to the decision duty. Thread-safe. */
+record AttemptEventForwarder(Consumer<RelayEvent> decisions)
+    implements RelayIntake.AttemptEventListener {
   @Override
   public void happened(AttemptId attempt, AttemptEvent event) {
-    decisions.accept(new RelayEvent.Attempted(attempt, event));
+    decisions.accept(new RelayEvent.AttemptChanged(attempt, event));
   }
 
   @Override
-  public void endpointEnded(AttemptId attempt) {
-    decisions.accept(new RelayEvent.EndpointEnded(attempt));
+  public void endpointCrashed(AttemptId attempt) {
+    decisions.accept(new RelayEvent.EndpointCrashed(attempt));
   }
 
   @Override
--- a/org.fawndrum/src/org/fawndrum/transport/relay/AttemptOwner.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/AttemptOwner.java
@@ -4,29 +4,32 @@
 import org.fawndrum.coordination.AttemptEvent;
 import org.fawndrum.state.HostIdentity;
 
-/** Whom an attempt reports to. Called on the attempt's event loop. */
+/**
+ * Receives the progress and the outcome of a {@link RelayAttempt}. Called on the attempt's event
+ * loop.
+ */
 interface AttemptOwner {
-  /** The first byte may leave from now on. */
+  /** Called before the request is written to the connection; bytes may be sent from now on. */
   void handedOver();
 
-  /** The endpoint's whole answer came. */
-  void whole(RelayAttempt attempt, RelayExchange.WholeAnswer answer);
+  /** Called when the endpoint's whole answer arrived. */
+  void answered(RelayAttempt attempt, RelayExchange.WholeAnswer answer);
 
-  /** A whole event came; returns false when it cannot follow the one before. */
-  boolean event(RelayAttempt attempt, EventSplitter.StreamEvent event);
+  /** Called when a complete event arrived; returns false if it cannot follow the previous event. */
+  boolean eventReceived(RelayAttempt attempt, EventSplitter.StreamEvent event);
 
-  /** The stream came to its end. */
-  void streamEnded(RelayAttempt attempt);
+  /** Called when the stream completed. */
+  void streamCompleted(RelayAttempt attempt);
 
-  /** Nothing has come for so long that another attempt may take the place of this one. */
+  /** Called when the attempt was silent for so long that another attempt may replace it. */
   void stalled(RelayAttempt attempt);
 
-  /** The endpoint ended under the attempt, which fails next. */
-  void endpointEnded(RelayAttempt attempt);
+  /** Called when the endpoint crashed during the attempt. A call of {@code failed} follows. */
+  void endpointCrashed(RelayAttempt attempt);
 
-  /** One of the attempt's helpers keeps it from being taken; it fails next. */
+  /** Called when a helper engine prevented the attempt. A call of {@code failed} follows. */
   void helperRefused(RelayAttempt attempt, HostIdentity helper);
 
-  /** The attempt failed. */
+  /** Called when the attempt failed. */
   void failed(RelayAttempt attempt, AttemptEvent event);
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/CallContent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/CallContent.java
@@ -11,11 +11,11 @@
 import org.fawndrum.coordination.crash.RequestFingerprint;
 
 /**
- * The content of a relayed request: method, path with query, workspace and body. Headers are left
- * out, because a request that is sent again may have other ones. Safe for all threads.
+ * The content of a relayed request: method, path with query, workspace and body. Headers are not
+ * included because a retried request may have different ones. Thread-safe.
  */
 final class CallContent implements RequestContent {
-  /** Of fixed length for every length of a body, and not to be met by a body made for it. */
+  /** Collision-resistant, and its digest has the same length for bodies of any size. */
   private static final String HASH = "SHA-256";
 
   private final String method;
@@ -46,7 +46,8 @@
 
   private RequestFingerprint compute() {
     MessageDigest hash = hash();
-    // Each text ends with a zero, which none of them contains, so that no two calls run together.
+    // Each text ends with a zero byte, which none of the texts contains, so that different texts
+    // never concatenate to the same input.
     for (String text : new String[] {method, uri, workspace}) {
       hash.update(text.getBytes(StandardCharsets.UTF_8));
       hash.update((byte) 0);
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ConfigurationReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ConfigurationReader.java
@@ -9,10 +9,10 @@
 import org.fawndrum.protocol.StorePosition;
 
 /**
- * Brings the operators' configuration into force. One that cannot be read is logged and confirms
- * nothing. Revisions only rise, also where the store has gone back to a copy that holds an earlier
- * one: what was in force once is written there again. Confined to one event loop, but for {@link
- * #newest}, which all threads may call.
+ * Applies the operators' configuration. A record that cannot be decoded is logged and does not
+ * confirm the current configuration. Revisions only increase, even if the store was restored from a
+ * copy with an earlier revision: the later configuration is written there again. Confined to one
+ * event loop, except {@link #newest}, which is thread-safe.
  */
 final class ConfigurationReader implements TopicFollower.Reader {
   private final RelayDecoder decoder;
@@ -27,41 +27,42 @@
   }
 
   @Override
-  public StorePosition readTo() {
-    // Others tell a revision without its place, so that what this host read itself is all there is.
+  public StorePosition knownEnd() {
+    // Peers send a revision without its store position, so there is no position beyond what this
+    // host read itself.
     return StorePosition.NONE;
   }
 
   @Override
-  public void regained() {
-    // A configuration never lapses.
+  public void storeAvailable() {
+    // A configuration does not expire.
   }
 
   @Override
-  public void whole(KeyedPage page, long askedMs) {
-    changes(page, askedMs);
+  public void applySnapshot(KeyedPage page, long queriedMs) {
+    applyChanges(page, queriedMs);
   }
 
   @Override
-  public void changes(KeyedPage page, long provedMs) {
-    KeyedRecord last = null;
+  public void applyChanges(KeyedPage page, long confirmedMs) {
+    KeyedRecord latest = null;
     for (KeyedRecord record : page.records()) {
       if (decoder.isConfiguration(record) && !record.drops()) {
-        last = record;
+        latest = record;
       }
     }
-    if (last == null || take(last)) {
-      routes.confirmed(provedMs);
+    if (latest == null || apply(latest)) {
+      routes.confirm(confirmedMs);
     }
   }
 
-  /** Returns the record of the revision in force, or null before any was read. */
+  /** Returns the record of the revision in force, or null before the first one. */
   KeyedRecord newest() {
     return newest;
   }
 
-  /** Takes a configuration; returns false when it makes no sense. */
-  boolean take(KeyedRecord record) {
+  /** Applies a configuration; returns false if the record cannot be decoded. */
+  boolean apply(KeyedRecord record) {
     try {
       if (routes.offer(decoder.configuration(record))) {
         newest = record;
--- a/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
@@ -17,38 +17,42 @@
 import org.fawndrum.transport.RequestMetrics;
 
 /**
- * Writes a line for each decision about a request, with the versions and ages of what decided it,
- * and feeds the histograms. Failures and refusals have a budget of their own, so that many
- * successes never push them out. Never blocks; safe for all threads.
+ * Logs a line for each decision about a request, with the versions and ages of the data that it was
+ * based on, and updates the histograms. Failures and refusals have a separate rate limit, so that
+ * many successes never suppress them. Non-blocking and thread-safe.
  */
 final class DecisionLog implements Consumer<Decision> {
-  /** Lines a second about what failed or was refused; a host sees some ten requests a second. */
-  private static final int FAILURE_LINES = 200;
+  /**
+   * Maximum lines a second about failures and refusals; a host receives about ten requests a
+   * second.
+   */
+  private static final int MAX_FAILURE_LINES_PER_SECOND = 200;
 
-  /** Lines a second about everything else. */
-  private static final int SUCCESS_LINES = 100;
+  /** Maximum lines a second about all other decisions. */
+  private static final int MAX_SUCCESS_LINES_PER_SECOND = 100;
 
-  private static final long LEFT_OUT_EVERY_MS = 1_000;
+  private static final long SUPPRESSED_REPORT_INTERVAL_MS = 1_000;
 
   private final RequestMetrics metrics;
   private final Supplier<Basis> basis;
   private final HostClock clock;
   private final HostLog log;
-  private final LineBudget failures = new LineBudget(FAILURE_LINES);
-  private final LineBudget successes = new LineBudget(SUCCESS_LINES);
-  private long nextLeftOutMs;
+  private final LineBudget failureBudget = new LineBudget(MAX_FAILURE_LINES_PER_SECOND);
+  private final LineBudget successBudget = new LineBudget(MAX_SUCCESS_LINES_PER_SECOND);
+  private long nextSuppressedReportMs;
 
   /**
-   * What a decision rested on.
+   * The data that a decision was based on.
    *
    * @param revision the configuration in force
-   * @param revisionAgeMs how long ago it was surely the newest, in milliseconds; -1 before any
-   * @param listing the reading of the endpoints' records
-   * @param listingAgeMs how old that reading is, in milliseconds; -1 before any
+   * @param revisionAgeMs time since it was last confirmed as the newest, in milliseconds; -1 before
+   *     the first one
+   * @param listing the version of the list of endpoints
+   * @param listingAgeMs the age of that list, in milliseconds; -1 before the first one
    */
   record Basis(long revision, long revisionAgeMs, long listing, long listingAgeMs) {}
 
-  /** The details of a decision's line. */
+  /** Log details of a decision. */
   record DecisionDetails(DecisionView decision, Basis basis) implements LogDetails {
     @Override
     public String requestId() {
@@ -56,39 +60,39 @@
     }
   }
 
-  /** The details of a request that was answered before any decision was asked for. */
-  record TurnedAway(String requestId, String refusal, long retryAfterMs, Basis basis)
+  /** Log details of a request that was rejected before it reached the decision duty. */
+  record RejectedDetails(String requestId, String refusal, long retryAfterMs, Basis basis)
       implements LogDetails {}
 
   /**
-   * The details of a stream that came to its end.
+   * Log details of a completed stream.
    *
    * @param longestPauseMs the longest time between two events, in milliseconds
-   * @param longestPauseAfter after how many events it came
+   * @param longestPauseAfter the number of events before that pause
    */
   record StreamDetails(
       String requestId, String endpoint, long events, long longestPauseMs, long longestPauseAfter)
       implements LogDetails {}
 
   /**
-   * The details of an attempt that ended because its engine gave no sign of life.
+   * Log details of an attempt that was ended because its engine was silent.
    *
-   * @param silentMs how long ago the last one was, in milliseconds
+   * @param silentMs time since the last sign of life, in milliseconds
    */
-  record SilentDetails(String requestId, String endpoint, long silentMs, String why)
+  record SilentEngineDetails(String requestId, String endpoint, long silentMs, String why)
       implements LogDetails {}
 
-  /** The details of memory that an attempt at an endpoint gave back. */
+  /** Log details of helper memory that an attempt at an endpoint released. */
   record MemoryDetails(String requestId, String endpoint, PromptMemory.Usage usage)
       implements LogDetails {}
 
   /**
-   * The details of an endpoint that ended under a request.
+   * Log details of an endpoint that crashed during a request.
    *
-   * @param start when the endpoint had started, as it tells; 0 when it does not
-   * @param fingerprint what the request asked, whatever its id
+   * @param start the start time that the endpoint reported; 0 if it reported none
+   * @param fingerprint identifies the content of the request, independent of its id
    */
-  record EndedDetails(String requestId, String endpoint, long start, String fingerprint)
+  record EndpointCrashDetails(String requestId, String endpoint, long start, String fingerprint)
       implements LogDetails {}
 
   DecisionLog(RequestMetrics metrics, Supplier<Basis> basis, HostClock clock, HostLog log) {
@@ -102,30 +106,32 @@
   public void accept(Decision decision) {
     metrics.decided(decision);
     if (decision.kind() == DecisionKind.ADMITTED) {
-      // The line that says where it was sent, or that it waits, follows at once.
+      // The next decision, which places the request or makes it wait, follows immediately and is
+      // logged.
       return;
     }
-    boolean bad =
+    boolean failed =
         decision.kind() == DecisionKind.REFUSED || decision.kind() == DecisionKind.ATTEMPT_FAILED;
-    if ((bad ? failures : successes).take(clock.nowMs())) {
+    if ((failed ? failureBudget : successBudget).take(clock.nowMs())) {
       log.details(
           LogEvent.DECISION, new DecisionDetails(OperatorViews.decision(decision), basis.get()));
     }
-    tellLeftOut();
+    logSuppressed();
   }
 
-  /** Writes a line for a request that was answered before any decision was asked for. */
-  void turnedAway(String requestId, Refusal refusal) {
-    if (failures.take(clock.nowMs())) {
+  /** Logs a request that was rejected before it reached the decision duty. */
+  void requestRejected(String requestId, Refusal refusal) {
+    if (failureBudget.take(clock.nowMs())) {
       log.details(
           LogEvent.TURNED_AWAY,
-          new TurnedAway(requestId, refusal.kind().code(), refusal.retryAfterMs(), basis.get()));
+          new RejectedDetails(
+              requestId, refusal.kind().code(), refusal.retryAfterMs(), basis.get()));
     }
   }
 
-  /** Writes a line for a stream that came to its end. */
-  void streamEnded(String requestId, StreamPace pace, String endpoint) {
-    if (successes.take(clock.nowMs())) {
+  /** Logs a completed stream. */
+  void streamCompleted(String requestId, StreamPace pace, String endpoint) {
+    if (successBudget.take(clock.nowMs())) {
       log.details(
           LogEvent.STREAM_ENDED,
           new StreamDetails(
@@ -134,46 +140,49 @@
   }
 
   /**
-   * Writes a line for an attempt that ended because its engine gave no sign that it works on it.
+   * Logs an attempt that was ended because its engine gave no sign of working on it.
    *
-   * @param why what the last question about it brought
+   * @param why the failure of the last probe
    */
   void engineSilent(String requestId, String endpoint, long silentMs, Throwable why) {
-    if (failures.take(clock.nowMs())) {
+    if (failureBudget.take(clock.nowMs())) {
       log.details(
           LogEvent.ENGINE_SILENT,
-          new SilentDetails(requestId, endpoint, silentMs, String.valueOf(why.getMessage())));
+          new SilentEngineDetails(requestId, endpoint, silentMs, String.valueOf(why.getMessage())));
     }
   }
 
-  /** Writes a line for an endpoint that ended while it had a request. */
-  void endpointEnded(RelayCall call, Endpoint endpoint) {
-    if (failures.take(clock.nowMs())) {
+  /** Logs a crash of an endpoint that had a request. */
+  void endpointCrashed(RelayCall call, Endpoint endpoint) {
+    if (failureBudget.take(clock.nowMs())) {
       String fingerprint = call.content().fingerprint().map(Object::toString).orElse("");
       log.details(
           LogEvent.ENDPOINT_ENDED,
-          new EndedDetails(
+          new EndpointCrashDetails(
               call.request().requestId(), endpoint.name(), endpoint.incarnation(), fingerprint));
     }
   }
 
-  /** Writes a line for memory of other engines that an attempt gives back at its end. */
+  /** Logs that an attempt released its memory on other engines. */
   void memoryFreed(String requestId, String endpoint, PromptMemory.Usage usage) {
-    if (successes.take(clock.nowMs())) {
+    if (successBudget.take(clock.nowMs())) {
       log.details(LogEvent.MEMORY_FREED, new MemoryDetails(requestId, endpoint, usage));
     }
   }
 
-  private synchronized void tellLeftOut() {
+  private synchronized void logSuppressed() {
     long nowMs = clock.nowMs();
-    if (nowMs < nextLeftOutMs) {
+    if (nowMs < nextSuppressedReportMs) {
       return;
     }
-    nextLeftOutMs = nowMs + LEFT_OUT_EVERY_MS;
-    long bad = failures.takeLeftOut();
-    long good = successes.takeLeftOut();
-    if (bad + good > 0) {
-      log.event(LogEvent.LINES_LEFT_OUT, Long.toString(bad), Long.toString(good));
+    nextSuppressedReportMs = nowMs + SUPPRESSED_REPORT_INTERVAL_MS;
+    long suppressedFailures = failureBudget.takeLeftOut();
+    long suppressedSuccesses = successBudget.takeLeftOut();
+    if (suppressedFailures + suppressedSuccesses > 0) {
+      log.event(
+          LogEvent.LINES_LEFT_OUT,
+          Long.toString(suppressedFailures),
+          Long.toString(suppressedSuccesses));
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointClient.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointClient.java
@@ -16,47 +16,51 @@
 import org.fawndrum.state.Endpoint;
 import org.fawndrum.state.HostAddress;
 
-/** The connections of this host to endpoints. */
+/** The HTTP connections from this host to endpoints. */
 final class EndpointClient {
   /**
-   * A live endpoint accepts within a few milliseconds. One that does not is tried no longer than
-   * leaves a short prompt time to come in time from another.
+   * Connect timeout in milliseconds. A live endpoint accepts within a few milliseconds; the limit
+   * leaves enough time to complete a short prompt on another endpoint.
    */
-  private static final int CONNECT_MS = 150;
+  private static final int CONNECT_TIMEOUT_MS = 150;
 
-  /** The most connections of this host to one endpoint; far above the streams that it works on. */
-  private static final int CONNECTIONS_PER_ENDPOINT = 64;
+  /** Maximum connections to one endpoint; far above the streams that an endpoint runs at a time. */
+  private static final int MAX_CONNECTIONS_PER_ENDPOINT = 64;
 
-  /** How long an unused connection is kept, in seconds; endpoints name shorter times themselves. */
-  private static final int KEPT_SECONDS = 8;
+  /**
+   * How long an idle connection is kept, in seconds; endpoints announce shorter times themselves.
+   */
+  private static final int KEEP_ALIVE_SECONDS = 8;
 
-  private final NetClient bare;
-  private final HttpClientAgent kept;
-  private final HttpClientAgent fresh;
+  private final NetClient probeClient;
+  private final HttpClientAgent pooledClient;
+  private final HttpClientAgent unpooledClient;
 
   EndpointClient(Vertx vertx) {
-    PoolOptions pool = new PoolOptions().setHttp1MaxSize(CONNECTIONS_PER_ENDPOINT);
+    PoolOptions pool = new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS_PER_ENDPOINT);
     HttpClientOptions options =
         new HttpClientOptions()
-            .setConnectTimeout(CONNECT_MS)
-            .setKeepAliveTimeout(KEPT_SECONDS)
+            .setConnectTimeout(CONNECT_TIMEOUT_MS)
+            .setKeepAliveTimeout(KEEP_ALIVE_SECONDS)
             .setTcpNoDelay(true);
-    this.bare = vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_MS));
-    this.kept = vertx.createHttpClient(options, pool);
-    // A kept connection may be closed by the endpoint just as a request is written to it, which
-    // leaves the outcome unknown. What may not be repeated therefore gets a connection of its own.
-    HttpClientOptions once = new HttpClientOptions(options).setKeepAlive(false);
-    this.fresh = vertx.createHttpClient(once, pool);
+    this.probeClient =
+        vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS));
+    this.pooledClient = vertx.createHttpClient(options, pool);
+    // An endpoint may close a pooled connection just as a request is written to it, which leaves
+    // the outcome unknown. Requests that must not be repeated therefore use a new connection.
+    HttpClientOptions unpooledOptions = new HttpClientOptions(options).setKeepAlive(false);
+    this.unpooledClient = vertx.createHttpClient(unpooledOptions, pool);
   }
 
   /**
-   * Tells whether nothing listens at an endpoint's address any more: connections are refused there.
-   * An endpoint that cannot be reached, or that takes a connection, may live; the answer is then
-   * no, within the time that a connection may take.
+   * Returns whether the endpoint's address refuses connections, which shows that no process listens
+   * there. The result is false if the endpoint accepts the connection or cannot be reached, because
+   * it may be alive then. Completes within the connect timeout.
    */
-  Future<Boolean> refuses(Endpoint endpoint) {
-    HostAddress at = endpoint.address();
-    return bare.connect(at.port(), at.ip())
+  Future<Boolean> refusesConnections(Endpoint endpoint) {
+    HostAddress address = endpoint.address();
+    return probeClient
+        .connect(address.port(), address.ip())
         .compose(
             socket -> {
               socket.close();
@@ -69,10 +73,10 @@
     return cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
   }
 
-  /** Gives a request whose connection is open; nothing has been written to it. */
+  /** Returns a request on an open connection; nothing has been written to it. */
   Future<HttpClientRequest> request(
       Endpoint endpoint, HttpMethod method, String uri, boolean repeatable) {
     RequestOptions options = EndpointConnections.options(endpoint).setMethod(method).setURI(uri);
-    return (repeatable ? kept : fresh).request(options);
+    return (repeatable ? pooledClient : unpooledClient).request(options);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointConnections.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointConnections.java
@@ -7,21 +7,21 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * Where requests to an endpoint go. Connections are kept for each start of an endpoint by itself:
- * one that was opened to an earlier start at the same address says nothing any more, and a request
- * on it would be lost. Those of the earlier start are never used again and end after their time.
+ * Selects connections to endpoints. Connections are pooled per incarnation of an endpoint: a
+ * request on a connection that was opened to a previous incarnation at the same address would be
+ * lost. Connections to previous incarnations are not used again and expire.
  */
 public final class EndpointConnections {
   private EndpointConnections() {}
 
-  /** Returns options that lead to an endpoint, on connections to this start of it. */
+  /** Returns request options that use connections to this incarnation of the endpoint. */
   public static RequestOptions options(Endpoint endpoint) {
-    HostAddress at = endpoint.address();
-    // The client keeps connections by server and host; the host's name goes into a header that
-    // callers' requests and orders set themselves.
+    HostAddress address = endpoint.address();
+    // The client pools connections by server and host. The host name is only part of that key: the
+    // Host header is set by the callers' requests and by the requests to engines.
     return new RequestOptions()
-        .setServer(SocketAddress.inetSocketAddress(at.port(), at.ip()))
+        .setServer(SocketAddress.inetSocketAddress(address.port(), address.ip()))
         .setHost(endpoint.name() + "." + endpoint.incarnation())
-        .setPort(at.port());
+        .setPort(address.port());
   }
 }
--- /dev/null
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointEventPublisher.java
@@ -0,0 +1,19 @@
+// SPDX-License-Identifier: Apache-2.0
+package org.fawndrum.transport.relay;
+
+import java.util.List;
+import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.state.HostAddress;
+import org.fawndrum.state.HostIdentity;
+
+/** Sends this host's findings about endpoints to other daemons. Never blocks. */
+interface EndpointEventPublisher {
+  /** Sends endpoint crashes to all daemons. */
+  void publishCrashes(CrashNews news);
+
+  /** Sends all endpoint crashes known here to one daemon. */
+  void sendAllCrashes(HostAddress to, CrashNews all);
+
+  /** Sends to all daemons that endpoints are shutting down. */
+  void publishShutdowns(List<HostIdentity> endpoints);
+}
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointNotice.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointNotice.java
@@ -2,13 +2,13 @@
 package org.fawndrum.transport.relay;
 
 /**
- * What an endpoint says about itself in the head of an answer, besides the answer. Immutable.
+ * State that an endpoint reports about itself in the headers of a response. Immutable.
  *
- * @param leaving whether it leaves: it answers on for a while, and ends
- * @param restMs for how long it wants nothing from this host, in milliseconds; 0 when it does not
- *     say so
+ * @param leaving whether the endpoint is shutting down: it answers for a while and then terminates
+ * @param restMs how long this host should send nothing to the endpoint, in milliseconds; 0 if the
+ *     endpoint requested no backoff
  */
 public record EndpointNotice(boolean leaving, long restMs) {
-  /** Of an endpoint that says nothing about itself. */
+  /** No state was reported. */
   public static final EndpointNotice NONE = new EndpointNotice(false, 0);
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointNotices.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointNotices.java
@@ -3,9 +3,12 @@
 
 import org.fawndrum.state.HostIdentity;
 
-/** Hears what endpoints say about themselves in answers. Called on event loops; never blocks. */
+/** Receives the notices in endpoints' responses. Called on event loops; must not block. */
 @FunctionalInterface
 public interface EndpointNotices {
-  /** An answer of a start of an endpoint said something about it; {@code NONE} is not told. */
+  /**
+   * Called when a response of an endpoint incarnation contained a notice; not called for {@code
+   * NONE}.
+   */
   void heard(HostIdentity endpoint, EndpointNotice notice);
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointReader.java
@@ -24,159 +24,163 @@
 import org.fawndrum.transport.HostClock;
 
 /**
- * Keeps the list of endpoints from their own records. Entries that lapsed while the platform was
- * away are kept for a while after its return, because living endpoints write themselves again. A
- * record that is no entry was written by somebody else: its key names no endpoint from then on,
- * whatever stood there, and every other entry holds. Where the store has gone back to a copy of
- * itself, what is known of each endpoint goes before what the copy holds, and what the copy lacks
- * is kept for a while as well. Confined to one event loop, but for {@link #readTo}, {@link
- * #changedTo}, {@link #ageMs}, {@link #records}, {@link #changesSince} and {@link #unusable}, which
- * all threads may call.
+ * Maintains the list of endpoints from their entries in the store. Entries that expired during an
+ * outage of the platform are kept for a while after it is available again, because live endpoints
+ * write their entries anew. A record that is not a valid entry was not written by the endpoint: it
+ * invalidates the entry of its key, whatever was stored there before, and no other entry. If the
+ * store was restored from a copy, newer entries known to this host take precedence over the copy,
+ * and entries missing in the copy are kept for a while as well. Confined to one event loop, except
+ * {@link #knownEnd}, {@link #lastChange}, {@link #ageMs}, {@link #records}, {@link #changesSince}
+ * and {@link #unusableCount}, which are thread-safe.
  */
 final class EndpointReader implements TopicFollower.Reader {
-  /** How long after its return the platform may still lack living endpoints, in milliseconds. */
-  private static final long RETURN_MS = 2_000;
+  /** How long after an outage the store may lack entries of live endpoints, in milliseconds. */
+  private static final long RECOVERY_GRACE_MS = 2_000;
 
-  /** The most lines about unusable entries a second; a counter tells of all. */
-  private static final int LINES_PER_SECOND = 5;
+  /** Maximum log lines a second about unusable entries; a metric counts all of them. */
+  private static final int MAX_LINES_PER_SECOND = 5;
 
   /**
-   * Where at least this part of the entries tells when the endpoint started, one that does not was
-   * written by somebody else. Below one, because several may have been; well above a half, because
-   * endpoints may be replaced one by one by others that do not tell it yet, or do.
+   * If at least this fraction of the entries contains the start time of the endpoint, an entry
+   * without it was not written by the endpoint and is unusable. Below 1, because there may be
+   * several such entries; well above one half, because a rolling replacement of endpoints may
+   * introduce or remove the field.
    */
-  private static final double MOST_TELL_PART = 0.75;
+  private static final double MIN_START_TIME_FRACTION = 0.75;
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY_VALUE = {};
 
   private final RelayDecoder decoder;
-  private final Consumer<HostListing> listed;
+  private final Consumer<HostListing> onListing;
   private final HostClock clock;
   private final HostLog log;
   private final Map<String, RelayDecoder.EndpointEntry> entries = new LinkedHashMap<>();
   private final Map<String, KeyedRecord> records = new ConcurrentHashMap<>();
-  private final Set<String> lapsed = new HashSet<>();
-  private final EntryHistory history = new EntryHistory();
-  private final EntryChanges changes = new EntryChanges();
-  private Set<String> startless = Set.of();
-  private final LineBudget lines = new LineBudget(LINES_PER_SECOND);
-  private long returnedMs = HostClock.NEVER_MS;
+  private final Set<String> expiredKeys = new HashSet<>();
+  private final EntryHistory entryHistory = new EntryHistory();
+  private final EntryChanges entryChanges = new EntryChanges();
+  private Set<String> keysWithoutStart = Set.of();
+  private final LineBudget lineBudget = new LineBudget(MAX_LINES_PER_SECOND);
+  private long recoveredMs = HostClock.NEVER_MS;
 
-  /** The end of what is being taken over; {@link #readTo} follows when all of it is. */
-  private StorePosition reading = StorePosition.NONE;
+  /**
+   * The end of the page that is being applied; {@link #knownEnd} follows once all of it is applied.
+   */
+  private StorePosition pageEnd = StorePosition.NONE;
 
-  private volatile StorePosition readTo = StorePosition.NONE;
-  private volatile long knownAtMs = HostClock.NEVER_MS;
-  private volatile long unusable;
+  private volatile StorePosition knownEnd = StorePosition.NONE;
+  private volatile long confirmedAtMs = HostClock.NEVER_MS;
+  private volatile long unusableCount;
   private long version;
 
-  EndpointReader(RelayDecoder decoder, Consumer<HostListing> listed, HostClock clock, HostLog log) {
+  EndpointReader(
+      RelayDecoder decoder, Consumer<HostListing> onListing, HostClock clock, HostLog log) {
     this.decoder = decoder;
-    this.listed = listed;
+    this.onListing = onListing;
     this.clock = clock;
     this.log = log;
   }
 
   @Override
-  public void regained() {
-    returnedMs = clock.nowMs();
+  public void storeAvailable() {
+    recoveredMs = clock.nowMs();
   }
 
   @Override
-  public void whole(KeyedPage page, long askedMs) {
-    if (!begins(page)) {
+  public void applySnapshot(KeyedPage page, long queriedMs) {
+    if (!beginPage(page)) {
       return;
     }
-    boolean wentBack = readTo.isKnown() && page.era() > readTo.era();
-    if (wentBack) {
-      returnedMs = clock.nowMs();
+    boolean restored = knownEnd.isKnown() && page.era() > knownEnd.era();
+    if (restored) {
+      recoveredMs = clock.nowMs();
     }
     Set<String> present = new HashSet<>();
     page.records().forEach(record -> present.add(record.key()));
     Set<String> missing = new HashSet<>(records.keySet());
     missing.removeAll(present);
-    List<KeyedRecord> held = new ArrayList<>();
+    List<KeyedRecord> valid = new ArrayList<>();
     for (KeyedRecord record : page.records()) {
       if (record.drops()) {
-        // Another host tells the newest of each key, and found this one unusable.
-        namesNone(record);
+        // A peer sends the newest record of each key, and this one was unusable for it.
+        invalidate(record);
       } else {
-        held.add(record);
+        valid.add(record);
       }
     }
-    if (wentBack) {
-      // A copy lacks those that came into being after it; they write themselves again.
-      lapsed.addAll(missing);
+    if (restored) {
+      // The copy lacks entries that were created after it was made; their endpoints write them
+      // again.
+      expiredKeys.addAll(missing);
       missing.clear();
     }
-    take(new KeyedPage(held, page.end(), page.era()), missing);
-    confirmed(page.endPosition(), askedMs);
+    applyPage(new KeyedPage(valid, page.end(), page.era()), missing);
+    confirm(page.endPosition(), queriedMs);
   }
 
   @Override
-  public void changes(KeyedPage page, long provedMs) {
-    if (!begins(page)) {
+  public void applyChanges(KeyedPage page, long confirmedMs) {
+    if (!beginPage(page)) {
       return;
     }
-    take(page, new HashSet<>());
-    confirmed(page.endPosition(), provedMs);
+    applyPage(page, new HashSet<>());
+    confirm(page.endPosition(), confirmedMs);
   }
 
   /**
-   * Begins to take a page over, unless it is of an earlier era: another host may have told what the
-   * store holds since.
+   * Prepares for applying a page; returns false if the page is of an earlier epoch, because a peer
+   * may already have sent later state of the store.
    */
-  private boolean begins(KeyedPage page) {
-    if (page.era() < readTo.era()) {
+  private boolean beginPage(KeyedPage page) {
+    if (page.era() < knownEnd.era()) {
       return false;
     }
-    reading = readTo.max(page.endPosition());
+    pageEnd = knownEnd.max(page.endPosition());
     return true;
   }
 
   /**
-   * Takes note that nothing else was in the log. That says something only of the era in which it
-   * was read.
+   * Records that the log contained nothing else. Ignored if the log was read in another epoch.
    *
    * @param end the end of the log
-   * @param atMs when the log surely ended there, by the host's clock
+   * @param atMs a time at which the log certainly ended there, by the host's clock
    */
-  void confirmed(StorePosition end, long atMs) {
-    if (end.era() == readTo.era()) {
-      readTo = readTo.max(end);
-      knownAtMs = Math.max(knownAtMs, atMs);
+  void confirm(StorePosition end, long atMs) {
+    if (end.era() == knownEnd.era()) {
+      knownEnd = knownEnd.max(end);
+      confirmedAtMs = Math.max(confirmedAtMs, atMs);
     }
   }
 
   @Override
-  public StorePosition readTo() {
-    return readTo;
+  public StorePosition knownEnd() {
+    return knownEnd;
   }
 
-  /** Returns the end of the log after the last change of an entry. */
-  StorePosition changedTo() {
-    return changes.last();
+  /** Returns the position after the last change of an entry. */
+  StorePosition lastChange() {
+    return entryChanges.lastChange();
   }
 
-  /** Returns how long ago the entries were surely those, in milliseconds. */
+  /** Returns the time since the entries were last confirmed, in milliseconds. */
   long ageMs(long nowMs) {
-    return nowMs - knownAtMs;
+    return nowMs - confirmedAtMs;
   }
 
   /**
-   * Returns the records of the entries, as they were read; one without a value where an entry has
-   * become unusable.
+   * Returns the records of the entries as they were read; a record without a value stands for an
+   * entry that became unusable.
    */
   List<KeyedRecord> records() {
     return List.copyOf(records.values());
   }
 
   /**
-   * Returns what changed after a place: the records of entries as they were read, and one without a
-   * value for each entry that is gone; empty when a host that knows the rest needs all of them.
+   * Returns the changes after a position: the records of entries as they were read, and a record
+   * without a value for each removed entry. Empty if the requesting host needs all entries.
    */
   Optional<List<KeyedRecord>> changesSince(StorePosition from) {
-    Optional<Set<String>> keys = changes.since(from);
+    Optional<Set<String>> keys = entryChanges.keysChangedSince(from);
     if (keys.isEmpty()) {
       return Optional.empty();
     }
@@ -184,127 +188,130 @@
     for (String key : keys.get()) {
       KeyedRecord record = records.get(key);
       if (record != null && record.drops()) {
-        // Among changes it would say that the entry lapsed, and might come back.
+        // In a list of changes, this record would mean that the entry expired and may come back.
         return Optional.empty();
       }
-      changed.add(record == null ? new KeyedRecord(from.offset(), key, NOTHING) : record);
+      changed.add(record == null ? new KeyedRecord(from.offset(), key, EMPTY_VALUE) : record);
     }
     return Optional.of(changed);
   }
 
-  /** Returns how many records were no entry. */
-  long unusable() {
-    return unusable;
+  /** Returns the number of records that were not valid entries. */
+  long unusableCount() {
+    return unusableCount;
   }
 
-  private void take(KeyedPage page, Set<String> missing) {
+  private void applyPage(KeyedPage page, Set<String> missing) {
     for (KeyedRecord record : page.records()) {
       if (record.drops()) {
         missing.add(record.key());
       } else {
         missing.remove(record.key());
-        put(record, page);
+        putEntry(record, page);
       }
     }
-    settle(missing);
-    dropLapsed();
-    // Only now: whoever is told that this host has read so far is told all of it.
-    readTo = reading;
+    handleMissing(missing);
+    removeExpired();
+    // Not before all of the page is applied: a peer that receives this position also receives all
+    // entries up to it.
+    knownEnd = pageEnd;
     publish();
   }
 
-  private void put(KeyedRecord record, KeyedPage page) {
+  private void putEntry(KeyedRecord record, KeyedPage page) {
     try {
       RelayDecoder.EndpointEntry entry = decoder.endpoint(record);
-      if (history.isOfACopy(record.key(), entry, page.era())) {
+      if (entryHistory.isStaleCopy(record.key(), entry, page.era())) {
         return;
       }
-      history.read(record.key(), entry, page.era());
+      entryHistory.recordEntry(record.key(), entry, page.era());
       records.put(record.key(), record);
-      if (!entry.saysTheSame(entries.put(record.key(), entry))) {
-        changes.changed(record.key(), page.after(record));
+      if (!entry.hasSameContent(entries.put(record.key(), entry))) {
+        entryChanges.recordChange(record.key(), page.after(record));
       }
-      lapsed.remove(record.key());
+      expiredKeys.remove(record.key());
     } catch (RecordUnreadableException e) {
-      tellUnusable(record, e.getCause());
-      namesNone(record);
+      logUnusable(record, e.getCause());
+      invalidate(record);
     }
   }
 
-  private void tellUnusable(KeyedRecord record, Object why) {
-    unusable = unusable + 1;
-    if (lines.take(clock.nowMs())) {
+  private void logUnusable(KeyedRecord record, Object why) {
+    unusableCount = unusableCount + 1;
+    if (lineBudget.take(clock.nowMs())) {
       log.event(LogEvent.ENTRY_UNUSABLE, record.key(), record.offset(), why);
     }
   }
 
-  /** Ends an entry for good; nothing lapsed that could come back by itself. */
-  private void namesNone(KeyedRecord record) {
+  /** Removes an unusable entry at once: unlike an expired entry, it cannot come back by itself. */
+  private void invalidate(KeyedRecord record) {
     if (entries.containsKey(record.key())) {
-      drop(record.key());
-      // Hosts that ask this one learn of it too, in few bytes, whatever was written.
-      records.put(record.key(), new KeyedRecord(record.offset(), record.key(), NOTHING));
+      removeEntry(record.key());
+      // Peers that query this host receive the invalidation as an empty value, however large the
+      // unusable record is.
+      records.put(record.key(), new KeyedRecord(record.offset(), record.key(), EMPTY_VALUE));
     }
   }
 
   /**
-   * Drops the missing entries, or keeps them for a while when they may only have lapsed: an outage
-   * of the store makes most of them lapse, while one that only this host could not reach makes
-   * none.
+   * Removes the missing entries, or keeps them for a while if they may only have expired. In an
+   * outage of the store most entries expire; if only this host could not reach the store, none do.
    */
-  private void settle(Set<String> missing) {
-    boolean most = missing.size() * 2 > entries.size();
-    if (most && mayComeBack()) {
-      lapsed.addAll(missing);
+  private void handleMissing(Set<String> missing) {
+    boolean mostExpired = missing.size() * 2 > entries.size();
+    if (mostExpired && isInRecoveryGrace()) {
+      expiredKeys.addAll(missing);
     } else {
-      missing.forEach(this::drop);
+      missing.forEach(this::removeEntry);
     }
   }
 
-  private boolean mayComeBack() {
-    return clock.nowMs() - returnedMs < RETURN_MS;
+  private boolean isInRecoveryGrace() {
+    return clock.nowMs() - recoveredMs < RECOVERY_GRACE_MS;
   }
 
-  private void drop(String key) {
+  private void removeEntry(String key) {
     records.remove(key);
-    lapsed.remove(key);
+    expiredKeys.remove(key);
     if (entries.remove(key) != null) {
-      history.gone(key, reading.era());
-      // Beyond the end, so that hosts that have read up to the end learn of it too.
-      StorePosition beyond = new StorePosition(reading.era(), reading.offset() + 1);
-      changes.changed(key, beyond);
+      entryHistory.recordRemoval(key, pageEnd.era());
+      // One position beyond the end, so that hosts that have read up to the end receive the change,
+      // too.
+      StorePosition beyondEnd = new StorePosition(pageEnd.era(), pageEnd.offset() + 1);
+      entryChanges.recordChange(key, beyondEnd);
     }
   }
 
-  private void dropLapsed() {
-    if (!lapsed.isEmpty() && !mayComeBack()) {
-      List.copyOf(lapsed).forEach(this::drop);
+  private void removeExpired() {
+    if (!expiredKeys.isEmpty() && !isInRecoveryGrace()) {
+      List.copyOf(expiredKeys).forEach(this::removeEntry);
     }
   }
 
-  /** Returns the keys whose entries lack the start that most others tell. */
-  private Set<String> startless() {
-    Set<String> without = new HashSet<>();
+  /** Returns the keys of the entries without a start time, if most other entries contain one. */
+  private Set<String> findKeysWithoutStart() {
+    Set<String> keys = new HashSet<>();
     entries.forEach(
         (key, entry) -> {
           if (entry.endpoint().incarnation() == Endpoint.START_NOT_TOLD) {
-            without.add(key);
+            keys.add(key);
           }
         });
-    boolean mostTell = entries.size() - without.size() >= MOST_TELL_PART * entries.size();
-    return mostTell ? without : Set.of();
+    boolean mostHaveStart =
+        entries.size() - keys.size() >= MIN_START_TIME_FRACTION * entries.size();
+    return mostHaveStart ? keys : Set.of();
   }
 
   private void publish() {
-    Set<String> before = startless;
-    startless = startless();
-    startless.stream()
-        .filter(key -> !before.contains(key))
-        .forEach(key -> tellUnusable(records.get(key), "the time of its start"));
+    Set<String> previous = keysWithoutStart;
+    keysWithoutStart = findKeysWithoutStart();
+    keysWithoutStart.stream()
+        .filter(key -> !previous.contains(key))
+        .forEach(key -> logUnusable(records.get(key), "the time of its start"));
     List<Endpoint> endpoints = new ArrayList<>();
     Set<HostIdentity> leaving = new HashSet<>();
     for (RelayDecoder.EndpointEntry entry : entries.values()) {
-      if (startless.contains(entry.endpoint().name())) {
+      if (keysWithoutStart.contains(entry.endpoint().name())) {
         continue;
       }
       endpoints.add(entry.endpoint());
@@ -312,8 +319,8 @@
         leaving.add(entry.endpoint().identity());
       }
     }
-    // All daemons see the endpoints in the same order, whenever they learned of them.
+    // All daemons list the endpoints in the same order, independent of when they learned of them.
     endpoints.sort(Comparator.comparing(Endpoint::name));
-    listed.accept(new HostListing(++version, endpoints, leaving, List.of()));
+    onListing.accept(new HostListing(++version, endpoints, leaving, List.of()));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EngineLiveness.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EngineLiveness.java
@@ -8,128 +8,130 @@
 import org.fawndrum.transport.HostClock;
 
 /**
- * Whether the engine of one attempt still works on it. Whatever comes from it is a sign of that;
- * when nothing came for a while, which before the first token of a long prompt says nothing, the
+ * Monitors whether the engine of one attempt still works on it. Any data from the engine is a sign
+ * of life. After a period of silence, which is normal before the first token of a long prompt, the
  * engine is probed. Confined to one event loop.
  *
- * <p>What it buys, measured with 18 engines and 8 hosts over 34 s in which four engines fell silent
- * every 5 s under three times the usual long prompts: without probes 14 pieces of memory stayed set
- * aside for nobody for more than 4 s, with 838 reports asked for none. The same load without faults
- * takes 76.
+ * <p>Measured with 18 engines and 8 hosts over 34 s, with four engines falling silent every 5 s
+ * under three times the usual load of long prompts: without probes, 14 memory reservations stayed
+ * unused for more than 4 s; with probes (838 reports requested), none did. The same load without
+ * faults needs 76 reports.
  */
 final class EngineLiveness {
   /**
-   * After how much silence an engine is probed, in milliseconds: a few probes for a prompt that is
-   * read for seconds, none for others.
+   * Silence after which an engine is probed, in milliseconds. This results in a few probes for a
+   * prompt with a prefill of several seconds, and in none for other prompts.
    */
-  static final long SILENCE_MS = 1_000;
+  static final long PROBE_AFTER_MS = 1_000;
 
-  /** How many probes in a row stay without an answer before an engine may be taken for dead. */
-  private static final int MOST_UNANSWERED = 2;
+  /** Number of consecutive unanswered probes before an engine may be considered dead. */
+  private static final int MAX_UNANSWERED = 2;
 
   /**
-   * How long an engine is silent at least before it is taken for dead, in milliseconds: what is
-   * lost on the way is sent again within a second. Memory must be free 4 s after its last use.
+   * Minimum silence before an engine is considered dead, in milliseconds: lost packets are
+   * retransmitted within a second. Memory must be released 4 s after its last use.
    */
-  static final long DEAD_MS = 2_000;
+  static final long MIN_DEAD_AFTER_MS = 2_000;
 
-  private final Supplier<Future<Void>> question;
+  private final Supplier<Future<Void>> probe;
   private final HostClock clock;
-  private final LongConsumer alive;
-  private final Consumer<Throwable> dead;
+  private final LongConsumer onAlive;
+  private final Consumer<Throwable> onDead;
   private long lastSignMs;
-  private int unanswered;
+  private int unansweredProbes;
   private boolean probing;
-  private boolean suspected;
-  private boolean ended;
+  private boolean overdue;
+  private boolean stopped;
 
   /**
-   * Makes the watch of an engine that was alive just now.
+   * Creates a monitor of an engine that was alive just now.
    *
-   * @param question probes the engine; fails when there is no evidence that it still works on the
-   *     attempt
-   * @param alive takes the time of each sign of life, in milliseconds: at it or later the engine
-   *     was at work
-   * @param dead hears once, when the engine is taken for dead, of the last probe's failure
+   * @param probe probes the engine; the future fails if there is no evidence that the engine still
+   *     works on the attempt
+   * @param onAlive receives the time of each sign of life, in milliseconds: the engine was working
+   *     at that time or later
+   * @param onDead called once, with the failure of the last probe, when the engine is considered
+   *     dead
    */
   EngineLiveness(
-      Supplier<Future<Void>> question,
+      Supplier<Future<Void>> probe,
       HostClock clock,
-      LongConsumer alive,
-      Consumer<Throwable> dead) {
-    this.question = question;
+      LongConsumer onAlive,
+      Consumer<Throwable> onDead) {
+    this.probe = probe;
     this.clock = clock;
-    this.alive = alive;
-    this.dead = dead;
+    this.onAlive = onAlive;
+    this.onDead = onDead;
     this.lastSignMs = clock.nowMs();
   }
 
-  /** Returns how long ago the last sign of life was, in milliseconds. */
+  /** Returns the time since the last sign of life, in milliseconds. */
   long silentMs() {
     return clock.nowMs() - lastSignMs;
   }
 
-  /** Takes a sign of life: something came from the engine. */
-  void heard() {
-    sign(clock.nowMs());
+  /** Records a sign of life: data arrived from the engine. */
+  void recordActivity() {
+    recordAlive(clock.nowMs());
   }
 
   /**
-   * Probes an engine that should have spoken by now, if it has been silent for long; one probe
-   * without an answer is then enough, because callers wait two seconds for the next event.
+   * Probes an engine whose next event is overdue, if it has been silent for long. One unanswered
+   * probe is then enough to consider it dead, because callers wait two seconds for the next event.
    */
-  void suspect() {
-    suspected = true;
+  void probeOverdue() {
+    overdue = true;
     probeIfSilent();
   }
 
   /** Probes the engine if it has been silent for long. */
   void probeIfSilent() {
-    if (!ended && !probing && silentMs() >= SILENCE_MS) {
+    if (!stopped && !probing && silentMs() >= PROBE_AFTER_MS) {
       probe();
     }
   }
 
-  /** Watches no longer; neither consumer hears anything more. */
-  void end() {
-    ended = true;
+  /** Stops the monitor; neither consumer is called any more. */
+  void stop() {
+    stopped = true;
   }
 
   private void probe() {
     probing = true;
-    long askedMs = clock.nowMs();
-    question
+    long probedMs = clock.nowMs();
+    probe
         .get()
         .onComplete(
             answer -> {
               probing = false;
-              if (ended) {
+              if (stopped) {
                 return;
               }
               if (answer.succeeded()) {
-                // It was at work when the probe came; the answer may be older than it looks.
-                sign(askedMs);
+                // The engine was working when the probe arrived; the answer may have been under way
+                // for long.
+                recordAlive(probedMs);
               } else {
-                unanswered(answer.cause());
+                probeFailed(answer.cause());
               }
             });
   }
 
-  private void sign(long atMs) {
-    if (!ended) {
+  private void recordAlive(long atMs) {
+    if (!stopped) {
       lastSignMs = Math.max(lastSignMs, atMs);
-      unanswered = 0;
-      suspected = false;
-      alive.accept(atMs);
+      unansweredProbes = 0;
+      overdue = false;
+      onAlive.accept(atMs);
     }
   }
 
-  private void unanswered(Throwable cause) {
-    unanswered++;
-    boolean gone = unanswered >= MOST_UNANSWERED && silentMs() >= DEAD_MS;
-    if (gone || suspected) {
-      end();
-      dead.accept(cause);
+  private void probeFailed(Throwable cause) {
+    unansweredProbes++;
+    boolean isDead = unansweredProbes >= MAX_UNANSWERED && silentMs() >= MIN_DEAD_AFTER_MS;
+    if (isDead || overdue) {
+      stop();
+      onDead.accept(cause);
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EngineOrders.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EngineOrders.java
@@ -5,29 +5,30 @@
 import org.fawndrum.state.Endpoint;
 
 /**
- * Orders to engines about their cache memory, and the question how they are. Futures complete on
- * the caller's event loop.
+ * Controls reserved cache memory of engines and requests their reports. Futures complete on the
+ * caller's event loop.
  */
 public interface EngineOrders {
   /**
-   * Chooses who hears what engines say about themselves in their answers. Called before the first
-   * order; until then nobody does.
+   * Sets the listener for notices in engines' responses. Called before the first request; without a
+   * listener, notices are discarded.
    */
   void hearNotices(EndpointNotices listener);
 
   /**
-   * Sets memory aside for a time, or prolongs that time. Gives false when the engine has not enough
-   * free; fails when it does not answer in time, and may have done it then.
+   * Reserves memory for a time, or extends a reservation. Returns false if the engine does not have
+   * enough free memory. Fails if the engine does not answer in time; the reservation may have been
+   * made nevertheless.
    *
-   * @param ticket names the memory; unique over all daemons and times
-   * @param tokens how much
-   * @param holdMs for how long, in milliseconds from the arrival of the order
+   * @param ticket identifies the memory; unique over all daemons and times
+   * @param tokens the size of the memory
+   * @param holdMs how long the memory is reserved, in milliseconds from the arrival of the request
    */
   Future<Boolean> reserve(Endpoint engine, String ticket, long tokens, long holdMs);
 
-  /** Frees memory that was set aside. */
+  /** Releases reserved memory. */
   Future<Void> release(Endpoint engine, String ticket);
 
-  /** Asks an engine for its report, a sign of life in any case; fails when none comes in time. */
+  /** Requests an engine's report; any answer is a sign of life. Fails if none arrives in time. */
   Future<EngineReport> report(Endpoint engine);
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EngineReport.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EngineReport.java
@@ -5,19 +5,19 @@
 import org.fawndrum.state.Endpoint;
 
 /**
- * What an engine tells of itself, a few hundred milliseconds old when it arrives. Immutable.
+ * State that an engine reports about itself, a few hundred milliseconds old on arrival. Immutable.
  *
- * @param told whether it told anything; if not, it lives all the same
- * @param incarnation the start that tells this; {@link Endpoint#START_NOT_TOLD} if it does not say
- * @param waiting how many requests wait for their turn at it
- * @param usedMemory the names of the memory set aside on it that a request uses which had its turn
+ * @param told whether the report has content; if not, it only shows that the engine is alive
+ * @param incarnation the incarnation that reported; {@link Endpoint#START_NOT_TOLD} if unknown
+ * @param waiting the number of requests that wait for execution on the engine
+ * @param usedMemory the tickets of memory reserved on the engine that a request in execution uses
  */
 public record EngineReport(boolean told, long incarnation, long waiting, Set<String> usedMemory) {
-  /** Of an engine that lives and tells nothing. */
+  /** Report of an engine that is alive and reports no details. */
   public static final EngineReport NOTHING =
       new EngineReport(false, Endpoint.START_NOT_TOLD, 0, Set.of());
 
-  /** Makes the report of an engine that told something. */
+  /** Creates the report of an engine that reported details. */
   public EngineReport(long incarnation, long waiting, Set<String> usedMemory) {
     this(true, incarnation, waiting, Set.copyOf(usedMemory));
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EntryChanges.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EntryChanges.java
@@ -9,51 +9,55 @@
 import org.fawndrum.protocol.StorePosition;
 
 /**
- * Which entries changed last and where, so that a host that has the others is told only these. Safe
- * for all threads.
+ * The latest changes of entries and their positions, so that a peer that has the other entries
+ * receives only these. Thread-safe.
  */
 final class EntryChanges {
-  /** How many are kept; a host that lacks more of them is told all entries. */
-  static final int MOST = 1_024;
+  /** Maximum number of changes that are kept; a peer that lacks more receives all entries. */
+  static final int MAX_KEPT = 1_024;
 
-  /** In the order in which they changed. */
-  private final Map<String, StorePosition> places = new LinkedHashMap<>();
+  /** In the order of the changes. */
+  private final Map<String, StorePosition> positions = new LinkedHashMap<>();
 
-  private StorePosition last = StorePosition.NONE;
-  private StorePosition forgottenTo = StorePosition.NONE;
+  private StorePosition lastChange = StorePosition.NONE;
+  private StorePosition droppedTo = StorePosition.NONE;
 
   /**
-   * Takes note that an entry came, went or says something else.
+   * Records that an entry was added, changed or removed.
    *
-   * @param at the place after what said so; if that is not after all changes before, the change
-   *     counts at the next place after them, so that each has a place of its own
+   * @param position the position after the record that caused the change; if it is not after all
+   *     previous changes, the next position after them is used, so that each change has its own
+   *     position
    */
-  synchronized void changed(String key, StorePosition at) {
-    last = at.isAfter(last) ? at : new StorePosition(last.era(), last.offset() + 1);
-    places.remove(key);
-    places.put(key, last);
-    if (places.size() > MOST) {
-      forgottenTo = places.remove(places.keySet().iterator().next());
+  synchronized void recordChange(String key, StorePosition position) {
+    lastChange =
+        position.isAfter(lastChange)
+            ? position
+            : new StorePosition(lastChange.era(), lastChange.offset() + 1);
+    positions.remove(key);
+    positions.put(key, lastChange);
+    if (positions.size() > MAX_KEPT) {
+      droppedTo = positions.remove(positions.keySet().iterator().next());
     }
   }
 
-  /** Returns the place of the last change. */
-  synchronized StorePosition last() {
-    return last;
+  /** Returns the position of the last change. */
+  synchronized StorePosition lastChange() {
+    return lastChange;
   }
 
   /**
-   * Returns the keys of the entries that changed after a place; empty when not all of them are
-   * known any more.
+   * Returns the keys of the entries that changed after a position; empty if some of them are no
+   * longer recorded.
    */
-  synchronized Optional<Set<String>> since(StorePosition from) {
-    if (from.era() != last.era() || forgottenTo.isAfter(from)) {
+  synchronized Optional<Set<String>> keysChangedSince(StorePosition from) {
+    if (from.era() != lastChange.era() || droppedTo.isAfter(from)) {
       return Optional.empty();
     }
     Set<String> keys = new HashSet<>();
-    places.forEach(
-        (key, at) -> {
-          if (at.isAfter(from)) {
+    positions.forEach(
+        (key, position) -> {
+          if (position.isAfter(from)) {
             keys.add(key);
           }
         });
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EntryHistory.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EntryHistory.java
@@ -7,58 +7,58 @@
 import org.fawndrum.transport.relay.RelayDecoder.EndpointEntry;
 
 /**
- * What endpoints wrote last as far as it was read, those included whose entries are gone. The store
- * may come back from a copy that holds what they wrote before: an endpoint that said since that it
- * leaves, or whose entry went, would be brought back by it. An entry of a later era counts only if
- * the endpoint wrote it after what is known here. Confined to one thread.
+ * The last entry read from each endpoint, including removed ones. If the store is restored from a
+ * copy, the copy may contain an older entry of an endpoint that announced its shutdown since, or
+ * was removed, and would bring it back. An entry of a later epoch therefore counts only if the
+ * endpoint wrote it after the entry known here. Confined to one thread.
  */
 final class EntryHistory {
   /**
-   * How many entries that are gone are kept: more than a fleet of 10,000 endpoints replaces in the
-   * seconds by which a copy may be old.
+   * Maximum number of removed entries that are kept: a fleet of 10,000 endpoints replaces fewer
+   * within the age, in seconds, that a copy may have.
    */
-  private static final int MOST_GONE = 1_024;
+  private static final int MAX_REMOVED = 1_024;
 
-  private final Map<String, Known> present = new HashMap<>();
-  private final Map<String, Known> gone = new LinkedHashMap<>();
+  private final Map<String, KnownEntry> present = new HashMap<>();
+  private final Map<String, KnownEntry> removed = new LinkedHashMap<>();
 
   /**
-   * What is known of one endpoint.
+   * The last known entry of one endpoint.
    *
-   * @param entry what it wrote last
-   * @param era the store's era in which that was read, or in which it went
+   * @param entry the entry that the endpoint wrote last
+   * @param epoch the store's epoch in which the entry was read or removed
    */
-  private record Known(EndpointEntry entry, long era) {}
+  private record KnownEntry(EndpointEntry entry, long epoch) {}
 
-  /** Takes note of an entry that counts. */
-  void read(String key, EndpointEntry entry, long era) {
-    gone.remove(key);
-    present.put(key, new Known(entry, era));
+  /** Records a valid entry. */
+  void recordEntry(String key, EndpointEntry entry, long epoch) {
+    removed.remove(key);
+    present.put(key, new KnownEntry(entry, epoch));
   }
 
-  /** Takes note that an entry is gone. */
-  void gone(String key, long era) {
-    Known last = present.remove(key);
-    if (last == null) {
+  /** Records that an entry was removed. */
+  void recordRemoval(String key, long epoch) {
+    KnownEntry known = present.remove(key);
+    if (known == null) {
       return;
     }
-    gone.put(key, new Known(last.entry(), era));
-    if (gone.size() > MOST_GONE) {
-      gone.remove(gone.keySet().iterator().next());
+    removed.put(key, new KnownEntry(known.entry(), epoch));
+    if (removed.size() > MAX_REMOVED) {
+      removed.remove(removed.keySet().iterator().next());
     }
   }
 
   /**
-   * Tells whether an entry was written before what is known, and comes from a copy of the store.
-   * One that says that its endpoint leaves is believed whenever it was written; so is one that an
-   * endpoint whose entry is still there wrote last, because it may write it again as it was.
+   * Returns whether an entry is older than the known one and comes from a copy of the store. An
+   * announced shutdown is accepted whenever it was written. If the endpoint's entry is still
+   * present, so is a repetition of it, because the endpoint may write the same entry again.
    */
-  boolean isOfACopy(String key, EndpointEntry entry, long era) {
-    Known last = present.getOrDefault(key, gone.get(key));
-    if (last == null || era <= last.era() || entry.leaving()) {
+  boolean isStaleCopy(String key, EndpointEntry entry, long epoch) {
+    KnownEntry known = present.getOrDefault(key, removed.get(key));
+    if (known == null || epoch <= known.epoch() || entry.leaving()) {
       return false;
     }
-    boolean wroteSince = last.entry().isBefore(entry);
-    return gone.containsKey(key) ? !wroteSince : entry.isBefore(last.entry());
+    boolean isNewer = known.entry().isOlderThan(entry);
+    return removed.containsKey(key) ? !isNewer : entry.isOlderThan(known.entry());
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EventSplitter.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EventSplitter.java
@@ -7,42 +7,45 @@
 import java.util.List;
 
 /**
- * Cuts the bytes of an event stream into whole events; the rest of an event waits for its end.
- * Confined to one thread.
+ * Splits the bytes of an event stream into events and buffers an incomplete event until its end
+ * arrives. Confined to one thread.
  */
 final class EventSplitter {
   private static final String ID_FIELD = "id:";
 
-  private Buffer rest = Buffer.buffer();
+  private Buffer pending = Buffer.buffer();
 
   /**
-   * A whole event.
+   * A complete event.
    *
-   * @param id its id; -1 when it has none
-   * @param bytes its bytes with the empty line at its end
+   * @param id its id; -1 if it has none
+   * @param bytes its bytes, including the empty line at the end
    */
   record StreamEvent(long id, Buffer bytes) {}
 
-  /** Takes bytes as they come and returns the events that are whole now. */
-  List<StreamEvent> take(Buffer piece) {
-    rest = rest.length() == 0 ? piece : Buffer.buffer().appendBuffer(rest).appendBuffer(piece);
+  /** Appends received bytes and returns the events that are now complete. */
+  List<StreamEvent> append(Buffer received) {
+    pending =
+        pending.length() == 0
+            ? received
+            : Buffer.buffer().appendBuffer(pending).appendBuffer(received);
     List<StreamEvent> events = new ArrayList<>(1);
-    int from = 0;
-    for (int at = 1; at < rest.length(); at++) {
-      if (rest.getByte(at) == '\n' && rest.getByte(at - 1) == '\n') {
-        Buffer bytes = rest.getBuffer(from, at + 1);
+    int start = 0;
+    for (int end = 1; end < pending.length(); end++) {
+      if (pending.getByte(end) == '\n' && pending.getByte(end - 1) == '\n') {
+        Buffer bytes = pending.getBuffer(start, end + 1);
         events.add(new StreamEvent(idOf(bytes), bytes));
-        from = at + 1;
-        at = from;
+        start = end + 1;
+        end = start;
       }
     }
-    rest = from == 0 ? rest : rest.getBuffer(from, rest.length());
+    pending = start == 0 ? pending : pending.getBuffer(start, pending.length());
     return events;
   }
 
-  /** Tells whether a part of an event waits for its end. */
-  boolean midEvent() {
-    return rest.length() > 0;
+  /** Returns whether an incomplete event is buffered. */
+  boolean hasPartialEvent() {
+    return pending.length() > 0;
   }
 
   private static long idOf(Buffer event) {
@@ -51,7 +54,8 @@
         try {
           return Long.parseLong(line.substring(ID_FIELD.length()).trim());
         } catch (NumberFormatException e) {
-          // An id that is no number cannot be resumed from; the event counts as one without an id.
+          // A stream cannot be resumed from an id that is not a number, so the event counts as one
+          // without an id.
           return -1;
         }
       }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetDuty.java
@@ -32,39 +32,41 @@
 import org.fawndrum.transport.peer.PeerNetwork;
 
 /**
- * The thread that knows the other daemons. It reports this host's work as it changes and, with a
- * heartbeat once a second, all of it, so that a report that got lost does no lasting harm; and it
- * passes reports of others on when {@link FleetOverlay} says so. Its methods are safe for all
- * threads and never block.
+ * The thread that exchanges messages with the other daemons. It reports changes of this host's work
+ * and, with a heartbeat each second, all of its work, so that a lost report has no lasting effect.
+ * It forwards reports of other daemons if {@link FleetOverlay} selects it for that. Its methods are
+ * thread-safe and do not block.
  */
 final class FleetDuty {
-  private static final int RING = 8_192;
+  private static final int RING_SIZE = 8_192;
 
   /** The interval of heartbeats, in milliseconds. */
   private static final long HEARTBEAT_MS = 1_000;
 
   /** The interval of heartbeats while no other daemon is known, in milliseconds. */
-  private static final long SEARCH_MS = 250;
+  private static final long SEARCH_HEARTBEAT_MS = 250;
 
   /**
-   * From so many other living daemons on, a zone hears at once only of its own engines. With 76
-   * daemons, hearing of all engines took more processor time than there is; with 8 it does no harm.
+   * Number of live peers from which on a zone receives only reports about its own engines at once.
+   * With 76 daemons, receiving reports about all engines took more processor time than is
+   * available; with 8 there is no problem.
    */
   private static final int MANY_DAEMONS = 24;
 
   /**
-   * How often it is looked which daemons and zones are silent, in milliseconds: seldom beside the
-   * messages that come, often beside the time after which a zone is silent.
+   * Interval at which silent daemons and zones are determined, in milliseconds: long compared with
+   * the interval of incoming messages, short compared with the silence after which a zone counts as
+   * silent.
    */
-  private static final long VIEW_MS = 100;
+  private static final long VIEW_INTERVAL_MS = 100;
 
-  /** The most addresses of silent daemons that are tried with one heartbeat. */
-  private static final int SILENT_TRIED = 3;
+  /** Maximum number of silent daemons that are contacted with each heartbeat. */
+  private static final int MAX_SILENT_CONTACTS = 3;
 
   private final HostIdentity self;
   private final FleetMember member;
-  private final Supplier<RelaySettings> current;
-  private final Supplier<StoreView> store;
+  private final Supplier<RelaySettings> currentSettings;
+  private final Supplier<StorePositions> storePositions;
   private final LongSupplier crashSummary;
   private final PeerNetwork network;
   private final HostClock clock;
@@ -72,80 +74,83 @@
   private final HostLog log;
   private final Duty<FleetEvent> duty;
   private final FleetOverlay overlay;
-  private final Map<String, List<EngineNews>> ownNews = new LinkedHashMap<>();
-  private final LeavingNotices leavingNotices = new LeavingNotices();
-  private final ReportBuffer gathered = new ReportBuffer();
-  private volatile List<HostAddress> alive = List.of();
-  private volatile HostAddress speaker;
-  private volatile int others;
+  private final Map<String, List<EngineNews>> ownUpdates = new LinkedHashMap<>();
+  private final ShutdownNotices shutdownNotices = new ShutdownNotices();
+  private final ReportBuffer reportBuffer = new ReportBuffer();
+  private volatile List<HostAddress> livePeers = List.of();
+  private volatile HostAddress zoneLeader;
+  private volatile int knownPeerCount;
   private volatile boolean manyDaemons;
   private volatile Set<String> silentZones = Set.of();
-  private volatile boolean hearsAll = true;
+  private volatile boolean allPeersActive = true;
   private long sequence;
   private long nextHeartbeatMs;
-  private long nextViewMs;
+  private long nextViewUpdateMs;
 
   FleetDuty(
       HostIdentity self,
-      Supplier<RelaySettings> current,
-      Supplier<StoreView> store,
+      Supplier<RelaySettings> currentSettings,
+      Supplier<StorePositions> storePositions,
       LongSupplier crashSummary,
       PeerNetwork network,
       HostClock clock,
       FleetListener listener,
       HostLog log) {
     this.self = self;
-    this.current = current;
-    this.store = store;
+    this.currentSettings = currentSettings;
+    this.storePositions = storePositions;
     this.crashSummary = crashSummary;
     this.network = network;
     this.clock = clock;
     this.listener = listener;
     this.log = log;
-    RelaySettings settings = current.get();
+    RelaySettings settings = currentSettings.get();
     long capacity = Math.round(settings.linkMegabits());
     this.member = new FleetMember(self, settings.peers(), settings.zone(), capacity);
-    this.overlay = new FleetOverlay(member, new MemberLog());
-    this.duty = new Duty<>("fleet", new Ring<>(RING), this::handle, this::tick, log);
+    this.overlay = new FleetOverlay(member, new MemberWatcher());
+    this.duty = new Duty<>("fleet", new Ring<>(RING_SIZE), this::handle, this::tick, log);
   }
 
   void start() {
     duty.start();
   }
 
-  /** Takes news for the others; what finds no room is told with the next heartbeat. */
-  void announce(Action.Announce news) {
-    duty.offer(new FleetEvent.Changed(news));
+  /** Queues an update for the other daemons; if the ring is full, the next heartbeat covers it. */
+  void announce(Action.Announce update) {
+    duty.offer(new FleetEvent.WorkChanged(update));
   }
 
-  /** Returns where the other daemons are that are alive, as last seen. */
-  List<HostAddress> alive() {
-    return alive;
+  /** Returns the addresses of the live peers, as last determined. */
+  List<HostAddress> livePeers() {
+    return livePeers;
   }
 
-  /** Returns how many other daemons were heard in the last minute, silent ones included. */
-  int others() {
-    return others;
+  /** Returns the number of other daemons known from the last minute, including silent ones. */
+  int knownPeerCount() {
+    return knownPeerCount;
   }
 
-  /** Tells whether the daemons are so many that each zone hears at once only of its own engines. */
+  /**
+   * Returns whether there are so many daemons that each zone receives only reports about its own
+   * engines at once.
+   */
   boolean manyDaemons() {
     return manyDaemons;
   }
 
-  /** Returns the availability zones from which no daemon is heard now. */
+  /** Returns the availability zones whose daemons are all silent now. */
   Set<String> silentZones() {
     return silentZones;
   }
 
-  /** Tells whether all daemons that are known were heard lately. */
-  boolean hearsAll() {
-    return hearsAll;
+  /** Returns whether all known daemons sent a message recently. */
+  boolean allPeersActive() {
+    return allPeersActive;
   }
 
-  /** Returns where the daemon is that speaks for this host's zone; null when it is this host. */
-  HostAddress speaker() {
-    return speaker;
+  /** Returns the address of the leader of this host's zone; null if this host is the leader. */
+  HostAddress zoneLeader() {
+    return zoneLeader;
   }
 
   void offer(FleetEvent event) {
@@ -153,232 +158,235 @@
   }
 
   private void handle(FleetEvent event) {
-    if (event instanceof FleetEvent.Changed changed) {
-      Action.Announce one = changed.news();
-      ownNews.computeIfAbsent(one.zone(), zone -> new ArrayList<>()).add(one.news());
-    } else if (event instanceof FleetEvent.All all) {
-      // What ended says more than the whole: whether the endpoint seems to be the cause.
-      reportOwn(clock.nowMs());
-      heartbeat(all.work());
-    } else if (event instanceof FleetEvent.Heard heard) {
-      heard(heard);
-      compareCrashes(heard);
-      if (!heard.leaving().isEmpty()) {
-        listener.leavingTold(heard.from().identity(), heard.leaving());
+    if (event instanceof FleetEvent.WorkChanged changed) {
+      Action.Announce update = changed.update();
+      ownUpdates.computeIfAbsent(update.zone(), zone -> new ArrayList<>()).add(update.news());
+    } else if (event instanceof FleetEvent.AllWork all) {
+      // The pending updates go first: for completed work they say whether the endpoint seems to be
+      // the cause, which the complete report does not.
+      sendOwnReports(clock.nowMs());
+      sendHeartbeat(all.work());
+    } else if (event instanceof FleetEvent.MessageReceived message) {
+      handleMessage(message);
+      compareCrashes(message);
+      if (!message.shuttingDown().isEmpty()) {
+        listener.shutdownsReceived(message.from().identity(), message.shuttingDown());
       }
-    } else if (event instanceof FleetEvent.Crashes crashes) {
-      tell(crashes);
-    } else if (event instanceof FleetEvent.Leaving leaving) {
+    } else if (event instanceof FleetEvent.EndpointCrashes crashes) {
+      sendCrashes(crashes);
+    } else if (event instanceof FleetEvent.EndpointsShuttingDown shutdowns) {
       long nowMs = clock.nowMs();
-      leavingNotices.learned(leaving.endpoints(), nowMs);
-      send(news(), everyone(nowMs));
+      shutdownNotices.add(shutdowns.endpoints(), nowMs);
+      send(newMessage(), broadcastAddresses(nowMs));
     }
   }
 
-  private void heard(FleetEvent.Heard heard) {
+  private void handleMessage(FleetEvent.MessageReceived message) {
     long nowMs = clock.nowMs();
-    boolean first = !overlay.isAlive(heard.from());
-    overlay.heardDirectly(heard.from(), heard.subscribes(), nowMs);
-    overlay.learn(heard.known(), nowMs);
+    boolean first = !overlay.isAlive(message.from());
+    overlay.heardDirectly(message.from(), message.subscribes(), nowMs);
+    overlay.learn(message.known(), nowMs);
     List<FleetReport> fresh = new ArrayList<>();
-    for (FleetReport report : heard.reports()) {
+    for (FleetReport report : message.reports()) {
       if (overlay.take(report, nowMs)) {
         fresh.add(report);
       }
     }
     if (!fresh.isEmpty()) {
-      listener.reported(fresh);
+      listener.reportsReceived(fresh);
     }
     if (overlay.passesOn(nowMs)) {
-      gathered.gather(fresh, nowMs);
+      reportBuffer.add(fresh, nowMs);
     }
-    if (heard.subscribes() && (first || overlay.knowsBetter(heard.from(), nowMs))) {
-      tellKnown(heard.from());
+    if (message.subscribes() && (first || overlay.knowsBetter(message.from(), nowMs))) {
+      sendKnownMembers(message.from());
     }
   }
 
-  /** Takes what was told of crashes; whoever reports here and knows something else is told all. */
-  private void compareCrashes(FleetEvent.Heard heard) {
-    CrashesFrom told = heard.crashes();
-    if (told.whole() || !told.news().isEmpty()) {
-      listener.crashesTold(told);
-    } else if (heard.subscribes() && told.summary() != crashSummary.getAsLong()) {
-      listener.crashesWanted(told.daemon());
+  /**
+   * Processes the crashes in a message. A subscriber whose summary differs from this host's
+   * receives all crashes known here.
+   */
+  private void compareCrashes(FleetEvent.MessageReceived message) {
+    PeerCrashReport report = message.crashes();
+    if (report.complete() || !report.crashes().isEmpty()) {
+      listener.crashesReceived(report);
+    } else if (message.subscribes() && report.summary() != crashSummary.getAsLong()) {
+      listener.crashesRequested(report.daemon());
     }
   }
 
-  /**
-   * Passes news on at once, unlike reports of work: each engine that ends costs all its requests.
-   */
-  private void tell(FleetEvent.Crashes crashes) {
+  /** Sends crashes at once, unlike reports of work: each one costs all requests on its engine. */
+  private void sendCrashes(FleetEvent.EndpointCrashes crashes) {
     long nowMs = clock.nowMs();
-    boolean whole = crashes.to().isPresent();
+    boolean complete = crashes.to().isPresent();
     send(
-        news().setCrashes(CrashCodec.write(crashes.news(), whole, nowMs)),
-        whole ? Set.of(crashes.to().get()) : everyone(nowMs));
+        newMessage().setCrashes(CrashCodec.write(crashes.crashes(), complete, nowMs)),
+        complete ? Set.of(crashes.to().get()) : broadcastAddresses(nowMs));
   }
 
-  /** Returns where the daemons are that this one tells things at once. */
-  private Set<HostAddress> everyone(long nowMs) {
+  /** Returns the addresses to which this daemon sends updates that must not wait. */
+  private Set<HostAddress> broadcastAddresses(long nowMs) {
     Set<HostAddress> to = addresses(overlay.near(nowMs));
     to.addAll(addresses(overlay.far(nowMs)));
     return to;
   }
 
-  private void tellKnown(FleetMember to) {
-    FleetNews.Builder news = news();
-    overlay.alive().forEach(one -> news.addKnown(FleetCodec.write(one)));
-    send(news, List.of(to.address()));
+  private void sendKnownMembers(FleetMember to) {
+    FleetNews.Builder builder = newMessage();
+    overlay.alive().forEach(peer -> builder.addKnown(FleetCodec.write(peer)));
+    send(builder, List.of(to.address()));
   }
 
   private long tick() {
     long nowMs = clock.nowMs();
-    reportOwn(nowMs);
-    follow(nowMs);
-    if (nowMs >= nextViewMs) {
-      nextViewMs = nowMs + VIEW_MS;
+    sendOwnReports(nowMs);
+    followLeader(nowMs);
+    if (nowMs >= nextViewUpdateMs) {
+      nextViewUpdateMs = nowMs + VIEW_INTERVAL_MS;
       silentZones = overlay.silentZones(nowMs);
-      hearsAll = overlay.hearsAll(nowMs);
+      allPeersActive = overlay.hearsAll(nowMs);
     }
     boolean passesOn = overlay.passesOn(nowMs);
-    if (passesOn && nowMs >= passOnMs(nowMs)) {
-      passOn(nowMs);
+    if (passesOn && nowMs >= forwardDueMs(nowMs)) {
+      forwardReports(nowMs);
     }
     if (nowMs >= nextHeartbeatMs) {
-      showOthers(nowMs);
-      nextHeartbeatMs = nowMs + (alive.isEmpty() ? SEARCH_MS : HEARTBEAT_MS);
-      listener.workWanted(work -> duty.offer(new FleetEvent.All(work)));
+      publishPeers(nowMs);
+      nextHeartbeatMs = nowMs + (livePeers.isEmpty() ? SEARCH_HEARTBEAT_MS : HEARTBEAT_MS);
+      listener.workRequested(work -> duty.offer(new FleetEvent.AllWork(work)));
     }
-    long dueMs = passesOn ? passOnMs(nowMs) : nextHeartbeatMs;
+    long dueMs = passesOn ? forwardDueMs(nowMs) : nextHeartbeatMs;
     return Math.min(nextHeartbeatMs, dueMs) - nowMs;
   }
 
-  private long passOnMs(long nowMs) {
-    return gathered.dueMs(overlay.near(nowMs).size());
+  private long forwardDueMs(long nowMs) {
+    return reportBuffer.dueMs(overlay.near(nowMs).size());
   }
 
-  /** Lets other threads see who is alive. */
-  private void showOthers(long nowMs) {
+  /** Publishes the live peers to other threads. */
+  private void publishPeers(long nowMs) {
     overlay.forget(nowMs);
-    alive = overlay.alive().stream().map(FleetMember::address).toList();
-    others = alive.size() + overlay.silent().size();
-    manyDaemons = alive.size() >= MANY_DAEMONS;
+    livePeers = overlay.alive().stream().map(FleetMember::address).toList();
+    knownPeerCount = livePeers.size() + overlay.silent().size();
+    manyDaemons = livePeers.size() >= MANY_DAEMONS;
   }
 
-  /** Reports what changed: through the speaker, or with what this host passes on. */
-  private void reportOwn(long nowMs) {
-    if (ownNews.isEmpty()) {
+  /** Reports changes of this host's work through the zone leader, unless this host forwards. */
+  private void sendOwnReports(long nowMs) {
+    if (ownUpdates.isEmpty()) {
       return;
     }
     List<FleetReport> reports = new ArrayList<>();
-    ownNews.forEach(
-        (zone, news) ->
-            reports.add(new FleetReport(self, Optional.empty(), ++sequence, zone, false, news)));
-    ownNews.clear();
+    ownUpdates.forEach(
+        (zone, updates) ->
+            reports.add(new FleetReport(self, Optional.empty(), ++sequence, zone, false, updates)));
+    ownUpdates.clear();
     if (overlay.passesOn(nowMs)) {
-      gathered.gather(reports, nowMs);
+      reportBuffer.add(reports, nowMs);
     } else {
-      send(news(reports, nowMs), addresses(overlay.near(nowMs)));
+      send(newMessage(reports, nowMs), addresses(overlay.near(nowMs)));
     }
   }
 
-  /** Subscribes at once where the speaker is another one than before. */
-  private void follow(long nowMs) {
-    FleetMember now = overlay.speaker(nowMs);
-    HostAddress at = now.identity().equals(self) ? null : now.address();
-    if (at != null && !at.equals(speaker)) {
-      log.event(LogEvent.SPEAKER_CHOSEN, now.identity(), now.zone());
+  /** Subscribes at once if the zone leader changed. */
+  private void followLeader(long nowMs) {
+    FleetMember leader = overlay.speaker(nowMs);
+    HostAddress leaderAddress = leader.identity().equals(self) ? null : leader.address();
+    if (leaderAddress != null && !leaderAddress.equals(zoneLeader)) {
+      log.event(LogEvent.SPEAKER_CHOSEN, leader.identity(), leader.zone());
       nextHeartbeatMs = nowMs;
     }
-    speaker = at;
+    zoneLeader = leaderAddress;
   }
 
-  private void heartbeat(List<EngineNews> work) {
+  private void sendHeartbeat(List<EngineNews> work) {
     long nowMs = clock.nowMs();
     FleetReport all =
         new FleetReport(self, Optional.of(member), ++sequence, FleetReport.EVERYWHERE, true, work);
-    FleetNews.Builder news = news().setSubscribes(true).addReports(FleetCodec.write(all, nowMs));
+    FleetNews.Builder builder =
+        newMessage().setSubscribes(true).addReports(FleetCodec.write(all, nowMs));
     Set<HostAddress> to = addresses(overlay.far(nowMs));
-    if (speaker != null) {
-      to.add(speaker);
+    if (zoneLeader != null) {
+      to.add(zoneLeader);
     } else {
-      to.addAll(contacts());
+      to.addAll(contactAddresses());
     }
-    send(news, to);
+    send(builder, to);
     if (overlay.passesOn(nowMs)) {
-      gathered.gather(List.of(all), nowMs);
+      reportBuffer.add(List.of(all), nowMs);
     }
   }
 
-  /** Returns where daemons may be that this one does not hear. */
-  private Set<HostAddress> contacts() {
+  /** Returns addresses at which daemons may be that this host receives no messages from. */
+  private Set<HostAddress> contactAddresses() {
     Set<HostAddress> addresses = addressSet();
-    overlay.silent().stream().limit(SILENT_TRIED).forEach(addresses::add);
-    addresses.addAll(current.get().otherSeeds());
+    overlay.silent().stream().limit(MAX_SILENT_CONTACTS).forEach(addresses::add);
+    addresses.addAll(currentSettings.get().otherSeeds());
     return addresses;
   }
 
-  /** Passes on what was gathered; where daemons are many, to each zone what concerns it. */
-  private void passOn(long nowMs) {
+  /** Forwards the gathered reports; with many daemons, only to the zones that they concern. */
+  private void forwardReports(long nowMs) {
     Map<String, List<FleetMember>> byZone = new TreeMap<>();
     byZone.put(member.zone(), overlay.near(nowMs));
     for (FleetMember far : overlay.far(nowMs)) {
       byZone.computeIfAbsent(far.zone(), zone -> new ArrayList<>()).add(far);
     }
-    List<FleetReport> all = gathered.drain(nowMs);
+    List<FleetReport> all = reportBuffer.drain(nowMs);
     byZone.forEach(
         (zone, members) -> {
           List<FleetReport> reports =
-              all.stream().filter(one -> !manyDaemons || one.concerns(zone)).toList();
-          send(news(reports, nowMs), addresses(members));
+              all.stream().filter(report -> !manyDaemons || report.concerns(zone)).toList();
+          send(newMessage(reports, nowMs), addresses(members));
         });
   }
 
-  private FleetNews.Builder news(List<FleetReport> reports, long nowMs) {
-    FleetNews.Builder news = news();
-    reports.forEach(report -> news.addReports(FleetCodec.write(report, nowMs)));
-    return news;
+  private FleetNews.Builder newMessage(List<FleetReport> reports, long nowMs) {
+    FleetNews.Builder builder = newMessage();
+    reports.forEach(report -> builder.addReports(FleetCodec.write(report, nowMs)));
+    return builder;
   }
 
-  private FleetNews.Builder news() {
-    StoreView view = store.get();
+  private FleetNews.Builder newMessage() {
+    StorePositions positions = storePositions.get();
     return FleetNews.newBuilder()
         .setSender(FleetCodec.write(member))
-        .setConfigurationRevision(view.configurationRevision())
-        .setEndpointsEra(view.endpointsChanged().era())
-        .setEndpointsChanged(view.endpointsChanged().offset())
-        .addAllLeaving(FleetCodec.writeEndpoints(leavingNotices.toTell(clock.nowMs())))
+        .setConfigurationRevision(positions.configurationRevision())
+        .setEndpointsEra(positions.endpointsChanged().era())
+        .setEndpointsChanged(positions.endpointsChanged().offset())
+        .addAllLeaving(FleetCodec.writeEndpoints(shutdownNotices.current(clock.nowMs())))
         .setCrashSummary(crashSummary.getAsLong());
   }
 
-  private void send(FleetNews.Builder news, Collection<HostAddress> to) {
-    PeerMessage message = PeerCodec.from(self).setFleetNews(news).build();
+  private void send(FleetNews.Builder builder, Collection<HostAddress> to) {
+    PeerMessage message = PeerCodec.from(self).setFleetNews(builder).build();
     to.forEach(address -> network.tell(address, message));
   }
 
   private static Set<HostAddress> addresses(List<FleetMember> members) {
     Set<HostAddress> addresses = addressSet();
-    members.forEach(one -> addresses.add(one.address()));
+    members.forEach(target -> addresses.add(target.address()));
     return addresses;
   }
 
-  /** Returns an empty set in a fixed order, so that equal histories send alike. */
+  /** Returns an empty set with a fixed order, so that equal histories result in equal messages. */
   private static Set<HostAddress> addressSet() {
-    return new TreeSet<>((one, other) -> one.toString().compareTo(other.toString()));
+    return new TreeSet<>((left, right) -> left.toString().compareTo(right.toString()));
   }
 
-  /** Logs who comes and goes, and tells the decisions of those who are gone. */
-  private final class MemberLog implements FleetOverlay.Watcher {
+  /** Logs appearing and silent daemons, and reports silent ones to the listener. */
+  private final class MemberWatcher implements FleetOverlay.Watcher {
     @Override
-    public void appeared(FleetMember one) {
-      log.event(LogEvent.PEER_ALIVE, one.identity());
+    public void appeared(FleetMember peer) {
+      log.event(LogEvent.PEER_ALIVE, peer.identity());
     }
 
     @Override
-    public void gone(FleetMember one, long silentMs) {
-      log.event(LogEvent.PEER_SUSPECTED, one.identity(), Long.toString(silentMs));
-      listener.gone(one.identity());
-      network.drop(one.address());
+    public void gone(FleetMember peer, long silentMs) {
+      log.event(LogEvent.PEER_SUSPECTED, peer.identity(), Long.toString(silentMs));
+      listener.daemonGone(peer.identity());
+      network.drop(peer.address());
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetEvent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetEvent.java
@@ -11,27 +11,27 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 
-/** An event for the thread that knows the other daemons. */
+/** An event for {@link FleetDuty}. */
 sealed interface FleetEvent {
-  /** This host's work changed. */
-  record Changed(Action.Announce news) implements FleetEvent {}
+  /** An update of this host's work. */
+  record WorkChanged(Action.Announce update) implements FleetEvent {}
 
   /** All of this host's work, for a heartbeat. */
-  record All(List<EngineNews> work) implements FleetEvent {}
+  record AllWork(List<EngineNews> work) implements FleetEvent {}
 
-  /** Another daemon sent something. */
-  record Heard(
+  /** A message of another daemon. */
+  record MessageReceived(
       FleetMember from,
       boolean subscribes,
       List<FleetReport> reports,
       List<FleetMember> known,
-      CrashesFrom crashes,
-      List<HostIdentity> leaving)
+      PeerCrashReport crashes,
+      List<HostIdentity> shuttingDown)
       implements FleetEvent {}
 
-  /** Others should know of endpoints that leave. */
-  record Leaving(List<HostIdentity> endpoints) implements FleetEvent {}
+  /** Endpoints are shutting down; the other daemons are to be notified. */
+  record EndpointsShuttingDown(List<HostIdentity> endpoints) implements FleetEvent {}
 
-  /** Others should know of endpoints that ended: one daemon all of it, or all what is news. */
-  record Crashes(Optional<HostAddress> to, CrashNews news) implements FleetEvent {}
+  /** Endpoints crashed; one daemon receives all crashes known here, or all daemons the new ones. */
+  record EndpointCrashes(Optional<HostAddress> to, CrashNews crashes) implements FleetEvent {}
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetListener.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetListener.java
@@ -8,23 +8,23 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 
-/** Takes what is learned of the other daemons and from them. Its methods must not block. */
+/** Receives updates about the other daemons and from them. Its methods must not block. */
 interface FleetListener {
-  /** Other daemons reported. */
-  void reported(List<FleetReport> reports);
+  /** Called when other daemons reported their work. */
+  void reportsReceived(List<FleetReport> reports);
 
-  /** Another daemon is gone. */
-  void gone(HostIdentity daemon);
+  /** Called when another daemon counts as crashed. */
+  void daemonGone(HostIdentity daemon);
 
-  /** All of this host's work is wanted. */
-  void workWanted(Consumer<List<EngineNews>> reply);
+  /** Called when all of this host's work is to be reported. */
+  void workRequested(Consumer<List<EngineNews>> reply);
 
-  /** Another daemon told about endpoints that ended under requests. */
-  void crashesTold(CrashesFrom told);
+  /** Called when another daemon reported endpoints that crashed during requests. */
+  void crashesReceived(PeerCrashReport report);
 
-  /** Another daemon told about endpoints that leave. */
-  void leavingTold(HostIdentity by, List<HostIdentity> endpoints);
+  /** Called when another daemon reported endpoints that are shutting down. */
+  void shutdownsReceived(HostIdentity daemon, List<HostIdentity> endpoints);
 
-  /** Another daemon may know less about such endpoints. */
-  void crashesWanted(HostAddress by);
+  /** Called when another daemon may lack crashes that are known here. */
+  void crashesRequested(HostAddress daemon);
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
@@ -16,33 +16,33 @@
 import org.fawndrum.transport.peer.PeerNetwork;
 
 /**
- * Hands messages of other daemons to the threads that they concern. Messages of other kinds are
- * passed over. Safe for all threads.
+ * Dispatches messages of other daemons to the threads that process them. Messages of other kinds
+ * are ignored. Thread-safe.
  */
 final class FleetReceiver implements PeerNetwork.Receiver {
   private final Consumer<FleetEvent> fleet;
-  private final Knowledge knowledge;
+  private final StoreSync storeSync;
   private final HostClock clock;
 
-  /** What this host and others know of the store. */
-  interface Knowledge {
-    /** Returns what this host can tell another one. */
+  /** The store state that is cached by this host and by its peers. */
+  interface StoreSync {
+    /** Returns the reply to a peer's query. */
     PeerMessage.Builder reply(KnowledgeRequest request);
 
-    /** Takes note of how far another daemon has read. */
-    void told(FleetMember peer, StoreView view);
+    /** Records how far a peer has read the store. */
+    void peerUpdated(FleetMember peer, StorePositions positions);
   }
 
-  FleetReceiver(Consumer<FleetEvent> fleet, Knowledge knowledge, HostClock clock) {
+  FleetReceiver(Consumer<FleetEvent> fleet, StoreSync storeSync, HostClock clock) {
     this.fleet = fleet;
-    this.knowledge = knowledge;
+    this.storeSync = storeSync;
     this.clock = clock;
   }
 
   @Override
   public void received(PeerMessage message, Consumer<PeerMessage.Builder> reply) {
     if (message.hasKnowledgeRequest()) {
-      reply.accept(knowledge.reply(message.getKnowledgeRequest()));
+      reply.accept(storeSync.reply(message.getKnowledgeRequest()));
     } else if (message.hasFleetNews()) {
       received(message.getFleetNews());
     }
@@ -52,20 +52,21 @@
     long nowMs = clock.nowMs();
     FleetMember sender = FleetCodec.read(news.getSender());
     List<FleetReport> reports =
-        news.getReportsList().stream().map(one -> FleetCodec.read(one, nowMs)).toList();
+        news.getReportsList().stream().map(report -> FleetCodec.read(report, nowMs)).toList();
     List<FleetMember> known = news.getKnownList().stream().map(FleetCodec::read).toList();
-    CrashesFrom crashes =
-        new CrashesFrom(
+    PeerCrashReport crashes =
+        new PeerCrashReport(
             sender.address(),
             CrashCodec.read(news.getCrashes(), nowMs),
             news.getCrashes().getWhole(),
             news.getCrashSummary());
-    List<HostIdentity> leaving = FleetCodec.readEndpoints(news.getLeavingList());
+    List<HostIdentity> shuttingDown = FleetCodec.readEndpoints(news.getLeavingList());
     fleet.accept(
-        new FleetEvent.Heard(sender, news.getSubscribes(), reports, known, crashes, leaving));
-    knowledge.told(
+        new FleetEvent.MessageReceived(
+            sender, news.getSubscribes(), reports, known, crashes, shuttingDown));
+    storeSync.peerUpdated(
         sender,
-        new StoreView(
+        new StorePositions(
             news.getConfigurationRevision(),
             new StorePosition(news.getEndpointsEra(), news.getEndpointsChanged())));
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/MetricsServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/MetricsServer.java
@@ -21,39 +21,42 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * Tells this host's figures in the text form that common scrapers read, and the requests that are
- * turned away because endpoints end under them.
+ * Serves this host's metrics in the Prometheus text format, and the list of requests that are
+ * rejected because endpoints crash while they have them.
  */
 final class MetricsServer {
-  private static final int FAILED = 500;
+  private static final int INTERNAL_SERVER_ERROR = 500;
 
   private final Vertx vertx;
   private final HostAddress address;
   private final MetricRegistry registry;
-  private final Supplier<List<RefusedRequest>> refused;
+  private final Supplier<List<RefusedRequest>> rejected;
   private final HostLog log;
 
   MetricsServer(
       Vertx vertx,
       HostAddress address,
       MetricRegistry registry,
-      Supplier<List<RefusedRequest>> refused,
+      Supplier<List<RefusedRequest>> rejected,
       HostLog log) {
     this.vertx = vertx;
     this.address = address;
     this.registry = registry;
-    this.refused = refused;
+    this.rejected = rejected;
     this.log = log;
   }
 
-  /** Listens; the exposition is loaded with the first question, because most hosts get none. */
+  /**
+   * Listens. The exposition classes are loaded with the first request, because most hosts receive
+   * none.
+   */
   Future<HttpServer> listen() {
     return vertx
         .createHttpServer(new HttpServerOptions().setHost(address.ip()).setPort(address.port()))
         .requestHandler(
             request -> {
               if (request.path().equals(OperatorViews.REFUSED_PATH)) {
-                request.response().end(Json.write(OperatorViews.refused(refused.get())));
+                request.response().end(Json.write(OperatorViews.refused(rejected.get())));
                 return;
               }
               try {
@@ -63,13 +66,13 @@
                     .end(Exposition.text(registry));
               } catch (IOException e) {
                 log.failure(LogEvent.DUTY_FAILED, e, "metrics");
-                request.response().setStatusCode(FAILED).end();
+                request.response().setStatusCode(INTERNAL_SERVER_ERROR).end();
               }
             })
         .listen();
   }
 
-  /** Writes the figures. */
+  /** Formats the metrics. */
   private static final class Exposition {
     static String text(MetricRegistry registry) throws IOException {
       CollectorRegistry collectors = new CollectorRegistry();
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PeerKnowledge.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PeerStoreSync.java
@@ -26,20 +26,20 @@
 import org.fawndrum.transport.peer.PeerNetwork;
 
 /**
- * Asks other daemons for what the store holds: the speaker of the zone as a rule, any other one
- * where that is not enough. What a peer proves counts from when it was asked, less the age that it
- * names, so that no clock but the own one matters. Confined to one event loop, but for {@link
- * #reply} and {@link #told}, which all threads may call.
+ * Synchronizes the cached store state with other daemons: as a rule with the zone leader, and with
+ * any other daemon if that is not enough. State of a peer counts as confirmed at the time of the
+ * query minus the age that the peer reports, so that only this host's clock matters. Confined to
+ * one event loop, except {@link #reply} and {@link #peerUpdated}, which are thread-safe.
  */
-final class PeerKnowledge implements FleetReceiver.Knowledge {
+final class PeerStoreSync implements FleetReceiver.StoreSync {
   /**
-   * How often the speaker is asked, as a part of the drain bound: with the speaker's own pause less
-   * than the age at which a host reads the store itself.
+   * Interval of queries to the zone leader, as a fraction of the drain limit: together with the
+   * leader's own polling interval, it is below the age at which a host reads the store itself.
    */
-  private static final double LOOK_PART = 0.25;
+  private static final double POLL_FRACTION = 0.25;
 
-  /** When the own knowledge is older than this, any peer is asked, in milliseconds. */
-  private static final long STALE_MS = 2_200;
+  /** Age of the cached state from which on any peer is queried, in milliseconds. */
+  private static final long MAX_AGE_MS = 2_200;
 
   private final HostIdentity self;
   private final PeerNetwork network;
@@ -49,11 +49,11 @@
   private final EndpointReader endpoints;
   private final HostClock clock;
   private final HostLog log;
-  private final Set<HostAddress> asked = new HashSet<>();
-  private final PeerViews views = new PeerViews();
+  private final Set<HostAddress> pendingPeers = new HashSet<>();
+  private final PeerPositions peerPositions = new PeerPositions();
   private volatile Context loop;
 
-  PeerKnowledge(
+  PeerStoreSync(
       HostIdentity self,
       PeerNetwork network,
       FleetDuty fleet,
@@ -73,104 +73,107 @@
   }
 
   /**
-   * Begins to ask.
+   * Starts polling.
    *
-   * @param drainMs the drain bound, in milliseconds
+   * @param drainMs the drain limit, in milliseconds
    */
   void start(Vertx vertx, long drainMs) {
     loop = vertx.getOrCreateContext();
-    vertx.setPeriodic(Math.max(1, Math.round(drainMs * LOOK_PART)), id -> look());
+    vertx.setPeriodic(Math.max(1, Math.round(drainMs * POLL_FRACTION)), id -> poll());
   }
 
-  private void look() {
-    HostAddress speaker = fleet.speaker();
-    if (speaker != null) {
-      ask(speaker);
+  private void poll() {
+    HostAddress leader = fleet.zoneLeader();
+    if (leader != null) {
+      query(leader);
     }
     long nowMs = clock.nowMs();
-    boolean stale = routes.ageMs(nowMs) > STALE_MS || endpoints.ageMs(nowMs) > STALE_MS;
-    List<HostAddress> known = fleet.alive();
+    boolean stale = routes.ageMs(nowMs) > MAX_AGE_MS || endpoints.ageMs(nowMs) > MAX_AGE_MS;
+    List<HostAddress> known = fleet.livePeers();
     if (stale && !known.isEmpty()) {
-      ask(known.get(ThreadLocalRandom.current().nextInt(known.size())));
+      query(known.get(ThreadLocalRandom.current().nextInt(known.size())));
     }
   }
 
   @Override
-  public void told(FleetMember peer, StoreView view) {
-    boolean endpointsChanged = views.told(peer, view.endpointsChanged(), endpoints.readTo());
-    boolean newer = endpointsChanged || view.configurationRevision() > routes.table().revision();
+  public void peerUpdated(FleetMember peer, StorePositions positions) {
+    boolean endpointsChanged =
+        peerPositions.positionReported(peer, positions.endpointsChanged(), endpoints.knownEnd());
+    boolean newer =
+        endpointsChanged || positions.configurationRevision() > routes.table().revision();
     Context on = loop;
     if (newer && on != null) {
-      on.runOnContext(v -> ask(peer.address()));
+      on.runOnContext(v -> query(peer.address()));
     }
   }
 
-  /** Asks a peer, unless a question to it is still open. */
-  private void ask(HostAddress peer) {
-    if (!asked.add(peer)) {
+  /** Queries a peer, unless a query to it is pending. */
+  private void query(HostAddress peer) {
+    if (!pendingPeers.add(peer)) {
       return;
     }
-    PeerViews.Question question = views.question(peer, endpoints.readTo());
+    PeerPositions.Query query = peerPositions.query(peer, endpoints.knownEnd());
     KnowledgeRequest request =
         KnowledgeRequest.newBuilder()
             .setConfigurationRevision(routes.table().revision())
-            .setEndpointsEra(question.known().era())
-            .setEndpointsEnd(question.known().offset())
+            .setEndpointsEra(query.known().era())
+            .setEndpointsEnd(query.known().offset())
             .build();
-    long askedMs = clock.nowMs();
+    long queriedMs = clock.nowMs();
     network
         .ask(peer, PeerCodec.from(self).setKnowledgeRequest(request))
         .whenComplete(
             (reply, failure) ->
-                loop.runOnContext(v -> answered(peer, question, askedMs, reply, failure)));
+                loop.runOnContext(v -> replyReceived(peer, query, queriedMs, reply, failure)));
   }
 
-  private void answered(
+  private void replyReceived(
       HostAddress peer,
-      PeerViews.Question question,
-      long askedMs,
+      PeerPositions.Query query,
+      long queriedMs,
       PeerMessage reply,
       Throwable failure) {
-    asked.remove(peer);
+    pendingPeers.remove(peer);
     if (failure == null) {
-      takeConfiguration(reply.getKnowledgeReply(), askedMs);
-      if (question.isAnsweredBy(reply.getFromIncarnation())) {
-        takeEndpoints(reply.getKnowledgeReply(), askedMs);
-        views.taken(peer, question);
+      applyConfiguration(reply.getKnowledgeReply(), queriedMs);
+      if (query.isAnsweredBy(reply.getFromIncarnation())) {
+        applyEndpoints(reply.getKnowledgeReply(), queriedMs);
+        peerPositions.replyApplied(peer, query);
       }
     } else {
       log.event(LogEvent.PEER_GAVE_NOTHING, peer, String.valueOf(failure));
     }
   }
 
-  private void takeConfiguration(KnowledgeReply reply, long askedMs) {
-    boolean understood =
-        !reply.hasConfiguration() || configuration.take(record(reply.getConfiguration()));
-    boolean same = routes.table().revision() >= reply.getConfigurationRevision();
-    // One that reads the store of before it went back proves nothing to one that knows better.
-    boolean oldEra = reply.getEndpointsEra() < endpoints.readTo().era();
-    if (understood && same && !oldEra && reply.getConfigurationAgeMs() >= 0) {
-      routes.confirmed(askedMs - reply.getConfigurationAgeMs());
+  private void applyConfiguration(KnowledgeReply reply, long queriedMs) {
+    boolean decoded =
+        !reply.hasConfiguration() || configuration.apply(record(reply.getConfiguration()));
+    boolean upToDate = routes.table().revision() >= reply.getConfigurationRevision();
+    // A peer that reads the store of an earlier epoch cannot confirm a configuration for a host
+    // that knows a later one.
+    boolean oldEpoch = reply.getEndpointsEra() < endpoints.knownEnd().era();
+    if (decoded && upToDate && !oldEpoch && reply.getConfigurationAgeMs() >= 0) {
+      routes.confirm(queriedMs - reply.getConfigurationAgeMs());
     }
   }
 
-  private void takeEndpoints(KnowledgeReply reply, long askedMs) {
+  private void applyEndpoints(KnowledgeReply reply, long queriedMs) {
     StorePosition end = new StorePosition(reply.getEndpointsEra(), reply.getEndpointsEnd());
-    if (endpoints.readTo().isAfter(end) || !end.isKnown() || reply.getEndpointsAgeMs() < 0) {
+    if (endpoints.knownEnd().isAfter(end) || !end.isKnown() || reply.getEndpointsAgeMs() < 0) {
       return;
     }
-    long provedMs = askedMs - reply.getEndpointsAgeMs();
+    long confirmedMs = queriedMs - reply.getEndpointsAgeMs();
     if (reply.getEndpointsLeftOut()) {
-      endpoints.confirmed(end, provedMs);
+      endpoints.confirm(end, confirmedMs);
       return;
     }
     List<KeyedRecord> records =
-        reply.getEndpointsList().stream().map(PeerKnowledge::record).toList();
+        reply.getEndpointsList().stream().map(PeerStoreSync::record).toList();
     KeyedPage page = new KeyedPage(records, end.offset(), end.era());
     if (reply.getEndpointsChangesOnly()) {
-      endpoints.changes(page, provedMs);
+      endpoints.applyChanges(page, confirmedMs);
     } else {
-      endpoints.whole(page, provedMs);
+      endpoints.applySnapshot(page, confirmedMs);
     }
   }
 
@@ -178,9 +181,9 @@
   public PeerMessage.Builder reply(KnowledgeRequest request) {
     long nowMs = clock.nowMs();
     long ageMs = routes.ageMs(nowMs);
-    StorePosition end = endpoints.readTo();
+    StorePosition end = endpoints.knownEnd();
     StorePosition known = new StorePosition(request.getEndpointsEra(), request.getEndpointsEnd());
-    boolean leftOut = end.era() == known.era() && !endpoints.changedTo().isAfter(known);
+    boolean unchanged = end.era() == known.era() && !endpoints.lastChange().isAfter(known);
     KnowledgeReply.Builder reply =
         KnowledgeReply.newBuilder()
             .setConfigurationAgeMs(ageMs)
@@ -188,12 +191,12 @@
             .setEndpointsEra(end.era())
             .setEndpointsEnd(end.offset())
             .setEndpointsAgeMs(end.isKnown() ? endpoints.ageMs(nowMs) : -1)
-            .setEndpointsLeftOut(leftOut);
+            .setEndpointsLeftOut(unchanged);
     KeyedRecord newest = configuration.newest();
     if (newest != null && routes.table().revision() > request.getConfigurationRevision()) {
       reply.setConfiguration(record(newest));
     }
-    if (!leftOut) {
+    if (!unchanged) {
       Optional<List<KeyedRecord>> changes = endpoints.changesSince(known);
       reply.setEndpointsChangesOnly(changes.isPresent());
       changes.orElseGet(endpoints::records).forEach(one -> reply.addEndpoints(record(one)));
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PromptMemory.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PromptMemory.java
@@ -17,251 +17,264 @@
 import org.fawndrum.transport.HostClock;
 
 /**
- * The memory that one attempt has set aside on several engines: all of it or none. It is held by
- * short leases, so that the memory of a daemon that died becomes free by itself. They are renewed
- * on evidence that this request still needs the memory, which is what comes from its engine or what
- * the holders of the memory say; one that waits for its turn needs what it does not use yet; never
- * on this host's own time, nor because the engine lives. A request may be open here long after its
- * engine has dropped it. Confined to one event loop.
+ * The memory that one attempt reserves on several helper engines: all of it or none. Reservations
+ * are short leases, so that the memory of a crashed daemon is released automatically. Leases are
+ * renewed only on evidence that this request still needs the memory: data from its engine, or
+ * reports of the helper engines. A request that waits for execution needs memory that it does not
+ * use yet. Elapsed time on this host and a live engine are not evidence, because a request may be
+ * open here long after its engine has dropped it. Confined to one event loop.
  */
 final class PromptMemory {
   /**
-   * How long a lease goes beyond the evidence that it rests on, in milliseconds; operators allow
-   * memory to lie unused for 4 s, an order may take 0.3 s, and what engines say may be 0.2 s old.
+   * Duration of a lease from the evidence that it is based on, in milliseconds. Operators allow
+   * memory to be unused for 4 s, a request to an engine may take 0.3 s, and an engine's report may
+   * be 0.2 s old.
    */
   static final long LEASE_MS = 3_500;
 
   /**
-   * The shortest time between renewals, in milliseconds: engines that write give evidence every few
-   * milliseconds, and one order in a second is enough to let two be lost.
+   * Minimum interval of renewals, in milliseconds. Decoding engines give evidence every few
+   * milliseconds; with one renewal per second, two may be lost.
    */
-  static final long RENEWAL_MS = 1_000;
+  static final long MIN_RENEWAL_MS = 1_000;
 
-  private static final int RELEASE_TRIES = 3;
+  private static final int MAX_RELEASE_TRIES = 3;
 
-  /** How long after its sending an order that got no answer may still be carried out, in ms. */
-  static final long LATE_MS = 12_000;
+  /** How long after being sent an unanswered reservation may still take effect, in milliseconds. */
+  static final long MAX_LATE_MS = 12_000;
 
   /**
-   * The interval at which memory is released again that a late order may have set aside, in
-   * milliseconds; shorter than a lease, so that several late orders never add up to a long one.
+   * Interval at which memory is released again that a late reservation may have reserved, in
+   * milliseconds. It is shorter than a lease, so that several late reservations do not add up to a
+   * long one.
    */
-  static final long RELEASE_AGAIN_MS = 2_500;
+  static final long RELEASE_INTERVAL_MS = 2_500;
 
   private final HostClock clock;
   private final Timer timer;
-  private final EngineOrders orders;
-  private final List<Part> parts;
+  private final EngineOrders engineControl;
+  private final List<HelperMemory> helperMemories;
   private final HostLog log;
   private final List<Lease> leases = new ArrayList<>();
-  private final MemoryUse use = new MemoryUse();
+  private final MemoryUseTracker useTracker = new MemoryUseTracker();
   private HostIdentity unreachable;
-  private long reservedMs;
-  private long renewedMs;
-  private int ordersSent;
-  private int ordersUnanswered;
-  private int questions;
-  private boolean freed;
+  private long reserveStartedMs;
+  private long evidenceMs;
+  private int reservesSent;
+  private int unansweredReserves;
+  private int useChecks;
+  private boolean released;
 
-  /** Runs steps later, on the same event loop. */
+  /** Schedules steps on the same event loop. */
   interface Timer {
-    void after(long ms, Runnable step);
+    void schedule(long ms, Runnable step);
   }
 
   /**
-   * What became of the memory up to now.
+   * The history of the reservation up to now.
    *
-   * @param engines those that hold it, or may do so
-   * @param heldMs how long ago the first order was sent, in milliseconds
-   * @param sinceEvidenceMs how long ago the evidence dates on which the leases rest, in
-   *     milliseconds
-   * @param orders how many orders to set it aside were sent, renewals among them
-   * @param unanswered how many of them got no answer, and may be carried out late
+   * @param engines the engines that hold it, or may do so
+   * @param heldMs time since the first reserve request was sent, in milliseconds
+   * @param sinceEvidenceMs time since the evidence that the leases are based on, in milliseconds
+   * @param engineControl the number of reserve requests sent, including renewals
+   * @param unanswered the number of reserve requests without an answer, which may take effect late
    */
   record Usage(
       List<String> engines, long heldMs, long sinceEvidenceMs, int orders, int unanswered) {}
 
-  /** Memory on one engine. */
-  private record Part(Action.Helper helper, String ticket) {}
+  /** Memory on one helper engine. */
+  private record HelperMemory(Action.Helper helper, String ticket) {}
 
-  /** A part that is, or may be, set aside, with the last order about it. */
+  /** Memory that is, or may be, reserved, with the last reserve request for it. */
   private static final class Lease {
-    final Part part;
-    Future<Boolean> lastOrder;
+    final HelperMemory memory;
+    Future<Boolean> lastReserve;
     long lateUntilMs = HostClock.NEVER_MS;
 
-    Lease(Part part) {
-      this.part = part;
+    Lease(HelperMemory memory) {
+      this.memory = memory;
     }
   }
 
   PromptMemory(
       HostClock clock,
       Timer timer,
-      EngineOrders orders,
+      EngineOrders engineControl,
       AttemptId attempt,
       List<Action.Helper> helpers,
       HostLog log) {
     this.clock = clock;
     this.timer = timer;
-    this.orders = orders;
+    this.engineControl = engineControl;
     this.log = log;
     String owner = Integer.toHexString(attempt.owner().hashCode());
-    List<Part> all = new ArrayList<>();
+    List<HelperMemory> memories = new ArrayList<>();
     for (int i = 0; i < helpers.size(); i++) {
       String ticket =
           helpers.get(i).memoryTokens() == 0
               ? ""
               : attempt.requestId() + "-" + owner + "-" + attempt.number() + "-" + i;
-      all.add(new Part(helpers.get(i), ticket));
+      memories.add(new HelperMemory(helpers.get(i), ticket));
     }
-    this.parts = List.copyOf(all);
+    this.helperMemories = List.copyOf(memories);
   }
 
-  /** Returns what the request tells its first engine about the others. */
+  /** Returns the helper engines as the request names them to its own engine. */
   List<RelayCodec.Helper> helpers() {
-    return parts.stream()
-        .map(part -> new RelayCodec.Helper(part.helper().endpoint().address(), part.ticket()))
+    return helperMemories.stream()
+        .map(memory -> new RelayCodec.Helper(memory.helper().endpoint().address(), memory.ticket()))
         .toList();
   }
 
-  /** Tells whether any memory is, or may be, set aside. */
-  boolean held() {
-    return !freed && !leases.isEmpty();
+  /** Returns whether any memory is, or may be, reserved. */
+  boolean isReserved() {
+    return !released && !leases.isEmpty();
   }
 
-  /** Tells what became of the memory up to now. */
+  /** Returns the history of the reservation up to now. */
   Usage usage() {
     List<String> engines =
-        leases.stream().map(lease -> lease.part.helper().endpoint().name()).toList();
+        leases.stream().map(lease -> lease.memory.helper().endpoint().name()).toList();
     long nowMs = clock.nowMs();
-    return new Usage(engines, nowMs - reservedMs, nowMs - renewedMs, ordersSent, ordersUnanswered);
+    return new Usage(
+        engines, nowMs - reserveStartedMs, nowMs - evidenceMs, reservesSent, unansweredReserves);
   }
 
-  /** Sets all memory aside; fails, with nothing held, when any of it cannot be had. */
+  /** Reserves all memory; fails without keeping any if part of it is not available. */
   Future<Void> reserve() {
-    reservedMs = clock.nowMs();
-    renewedMs = reservedMs;
-    List<Part> inOrder =
-        parts.stream()
-            .filter(part -> !part.ticket().isEmpty())
-            .sorted(Comparator.comparing(part -> part.helper().endpoint().name()))
+    reserveStartedMs = clock.nowMs();
+    evidenceMs = reserveStartedMs;
+    List<HelperMemory> sorted =
+        helperMemories.stream()
+            .filter(memory -> !memory.ticket().isEmpty())
+            .sorted(Comparator.comparing(memory -> memory.helper().endpoint().name()))
             .toList();
-    return reserveFrom(inOrder, 0).onFailure(cause -> free());
+    return reserveFrom(sorted, 0).onFailure(cause -> release());
   }
 
-  private Future<Void> reserveFrom(List<Part> inOrder, int index) {
-    if (index == inOrder.size()) {
+  private Future<Void> reserveFrom(List<HelperMemory> sorted, int index) {
+    if (index == sorted.size()) {
       return Future.succeededFuture();
     }
-    Part part = inOrder.get(index);
-    // It counts as held from here on: an order without an answer may have been carried out.
-    Lease lease = new Lease(part);
+    HelperMemory memory = sorted.get(index);
+    // The memory counts as reserved from now on, because an unanswered request may have taken
+    // effect.
+    Lease lease = new Lease(memory);
     leases.add(lease);
-    return order(lease, LEASE_MS)
+    return sendReserve(lease, LEASE_MS)
         .compose(
             granted ->
-                granted && !freed
-                    ? reserveFrom(inOrder, index + 1)
+                granted && !released
+                    ? reserveFrom(sorted, index + 1)
                     : Future.failedFuture(
-                        new EndpointMemoryShortException(part.helper().endpoint().name())));
+                        new EndpointMemoryShortException(memory.helper().endpoint().name())));
   }
 
-  private Future<Boolean> order(Lease lease, long holdMs) {
-    Part part = lease.part;
-    ordersSent++;
-    lease.lastOrder =
-        orders
-            .reserve(part.helper().endpoint(), part.ticket(), part.helper().memoryTokens(), holdMs)
-            .onFailure(cause -> unanswered(lease, cause));
-    return lease.lastOrder;
+  private Future<Boolean> sendReserve(Lease lease, long holdMs) {
+    HelperMemory memory = lease.memory;
+    reservesSent++;
+    lease.lastReserve =
+        engineControl
+            .reserve(
+                memory.helper().endpoint(), memory.ticket(), memory.helper().memoryTokens(), holdMs)
+            .onFailure(cause -> reserveUnanswered(lease, cause));
+    return lease.lastReserve;
   }
 
-  private void unanswered(Lease lease, Throwable cause) {
-    ordersUnanswered++;
-    lease.lateUntilMs = clock.nowMs() + LATE_MS;
-    unreachable = lease.part.helper().endpoint().identity();
-    log.event(LogEvent.MEMORY_ORDER_FAILED, lease.part.ticket(), cause);
+  private void reserveUnanswered(Lease lease, Throwable cause) {
+    unansweredReserves++;
+    lease.lateUntilMs = clock.nowMs() + MAX_LATE_MS;
+    unreachable = lease.memory.helper().endpoint().identity();
+    log.event(LogEvent.MEMORY_ORDER_FAILED, lease.memory.ticket(), cause);
   }
 
-  /** Returns the engine that did not answer the last order that got no answer. */
+  /**
+   * Returns the engine that left the last unanswered request unanswered; empty if all were
+   * answered.
+   */
   Optional<HostIdentity> unreachable() {
     return Optional.ofNullable(unreachable);
   }
 
-  /** Takes note that the answer of the request has begun. */
-  void begun() {
-    use.begun();
+  /** Records that the answer of the request has started. */
+  void answerStarted() {
+    useTracker.recordStart();
   }
 
   /**
-   * Asks one of the engines that hold the memory, each time the next, whether this request may
-   * still use it; fails when it does not, or when no answer comes. Each of them hears of the end of
-   * the request from the engine that reads it, even when that says nothing to this host.
+   * Asks one of the helper engines, in turn, whether this request may still use its memory; fails
+   * if it does not, or if no answer arrives. Helper engines learn of the request's completion from
+   * its own engine, even if that engine reports nothing to this host.
    *
-   * <p>What it buys: memory that nobody uses is given back within 3 s, where it had stayed set
-   * aside until the caller's deadline, with an engine that lives and has dropped the request.
+   * <p>This releases unused memory within 3 s if an engine is alive but has dropped the request.
+   * Without it, the memory stayed reserved until the caller's deadline.
    *
-   * @param reader the report of the engine that the request was sent to, as it comes
+   * @param requestEngine the pending report of the engine that the request was sent to
    */
-  Future<Void> stillUsed(Future<EngineReport> reader) {
-    if (!held()) {
-      return reader.mapEmpty();
+  Future<Void> checkStillUsed(Future<EngineReport> requestEngine) {
+    if (!isReserved()) {
+      return requestEngine.mapEmpty();
     }
-    Part part = leases.get(questions++ % leases.size()).part;
-    Endpoint engine = part.helper().endpoint();
-    Future<EngineReport> holder = orders.report(engine);
-    return Future.join(reader, holder)
+    HelperMemory memory = leases.get(useChecks++ % leases.size()).memory;
+    Endpoint engine = memory.helper().endpoint();
+    Future<EngineReport> helper = engineControl.report(engine);
+    return Future.join(requestEngine, helper)
         .compose(
             both ->
-                use.possible(
-                        reader.result(), holder.result(), part.ticket(), clock.nowMs() - reservedMs)
+                useTracker.mayBeInUse(
+                        requestEngine.result(),
+                        helper.result(),
+                        memory.ticket(),
+                        clock.nowMs() - reserveStartedMs)
                     ? Future.succeededFuture()
                     : Future.failedFuture(new MemoryUnusedException(engine.name())));
   }
 
   /**
-   * Takes evidence that the request needs the memory and renews the leases if that is due.
+   * Renews the leases if a renewal is due.
    *
-   * @param atMs at this time or later it was needed, in milliseconds of the host's clock
+   * @param atMs the time of the evidence, in milliseconds of the host's clock: the request needed
+   *     the memory at that time or later
    */
-  void neededAt(long atMs) {
-    boolean over = clock.nowMs() - atMs >= LEASE_MS;
-    if (freed || over || atMs - renewedMs < RENEWAL_MS) {
+  void renewOnEvidence(long atMs) {
+    boolean expired = clock.nowMs() - atMs >= LEASE_MS;
+    if (released || expired || atMs - evidenceMs < MIN_RENEWAL_MS) {
       return;
     }
-    renewedMs = atMs;
-    // One that gets no answer is sent again with the next evidence: each may be carried out late.
-    leases.forEach(lease -> order(lease, atMs + LEASE_MS - clock.nowMs()));
+    evidenceMs = atMs;
+    // An unanswered renewal is repeated only with the next evidence, because each may take effect
+    // late.
+    leases.forEach(lease -> sendReserve(lease, atMs + LEASE_MS - clock.nowMs()));
   }
 
-  /** Frees everything; does nothing when called again. */
-  void free() {
-    if (freed) {
+  /** Releases all memory; has no effect when called again. */
+  void release() {
+    if (released) {
       return;
     }
-    freed = true;
-    leases.forEach(lease -> lease.lastOrder.onComplete(done -> end(lease, RELEASE_TRIES)));
+    released = true;
+    leases.forEach(
+        lease -> lease.lastReserve.onComplete(done -> releaseLease(lease, MAX_RELEASE_TRIES)));
   }
 
-  /** Frees a part once no order about it is on its way, which could set it aside again. */
-  private void end(Lease lease, int tries) {
-    release(lease.part, tries);
+  /** Releases memory after the pending reserve request for it, which could reserve it again. */
+  private void releaseLease(Lease lease, int triesLeft) {
+    sendRelease(lease.memory, triesLeft);
     if (clock.nowMs() < lease.lateUntilMs) {
-      // What an order without an answer sets aside late is taken back each time.
-      timer.after(RELEASE_AGAIN_MS, () -> end(lease, 1));
+      // A late reservation is released repeatedly while it may still take effect.
+      timer.schedule(RELEASE_INTERVAL_MS, () -> releaseLease(lease, 1));
     }
   }
 
-  private void release(Part part, int tries) {
-    orders
-        .release(part.helper().endpoint(), part.ticket())
+  private void sendRelease(HelperMemory memory, int triesLeft) {
+    engineControl
+        .release(memory.helper().endpoint(), memory.ticket())
         .onFailure(
             cause -> {
-              if (tries > 1) {
-                release(part, tries - 1);
+              if (triesLeft > 1) {
+                sendRelease(memory, triesLeft - 1);
               } else {
-                log.event(LogEvent.MEMORY_ORDER_FAILED, part.ticket(), cause);
+                log.event(LogEvent.MEMORY_ORDER_FAILED, memory.ticket(), cause);
               }
             });
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ReadRelaySettings.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ReadRelaySettings.java
@@ -10,20 +10,20 @@
 import org.fawndrum.settings.SettingsNode;
 import org.fawndrum.state.HostAddress;
 
-/** Reads and checks the settings file of a daemon that relays requests. */
+/** Reads and validates the settings file of a daemon that relays requests. */
 public final class ReadRelaySettings {
-  private static final long LONGEST_MS = 3_600_000;
-  private static final long LONGEST_S = 3_600;
+  private static final long MAX_MS = 3_600_000;
+  private static final long MAX_S = 3_600;
   private static final long MS_PER_SECOND = 1_000;
-  private static final double FASTEST_LINK = 1e6;
-  private static final double MOST_RETRIES = 1e9;
+  private static final double MAX_LINK_MEGABITS = 1e6;
+  private static final double MAX_RETRIES = 1e9;
 
   private static final String FINGERPRINT = "[0-9a-f]{32}";
 
   private final Path file;
   private final List<SettingsFault> faults = new ArrayList<>();
 
-  /** Prepares the reading of one file. */
+  /** Creates a reader of one file. */
   public ReadRelaySettings(Path file) {
     this.file = file;
   }
@@ -31,7 +31,7 @@
   /**
    * Returns the settings.
    *
-   * @throws BadSettingsException if anything is wrong; names everything at once
+   * @throws BadSettingsException if the settings are invalid; lists all faults
    */
   public RelaySettings call() {
     SettingsNode root = new SettingsNode("", SettingsFile.tree(file), faults);
@@ -45,7 +45,7 @@
             peers,
             root.address("metrics"),
             root.address("platform"),
-            root.fraction("linkMegabits", 0, FASTEST_LINK),
+            root.fraction("linkMegabits", 0, MAX_LINK_MEGABITS),
             root.addresses("seeds").stream()
                 .map(seed -> new HostAddress(seed.ip(), peers.port()))
                 .toList(),
@@ -63,13 +63,13 @@
     RelayBounds bounds =
         new RelayBounds(
             node.flag("keysNeedProof", true),
-            node.number("revokeMs", 1, LONGEST_MS),
-            node.number("drainMs", 1, LONGEST_MS),
-            node.number("graceS", 1, LONGEST_S) * MS_PER_SECOND,
-            node.fraction("retryRatio", 0, MOST_RETRIES),
-            node.fraction("retrySlack", 0, MOST_RETRIES),
-            node.number("retryWindowS", 1, LONGEST_S) * MS_PER_SECOND,
-            node.number("streamPassMs", 1, LONGEST_MS));
+            node.number("revokeMs", 1, MAX_MS),
+            node.number("drainMs", 1, MAX_MS),
+            node.number("graceS", 1, MAX_S) * MS_PER_SECOND,
+            node.fraction("retryRatio", 0, MAX_RETRIES),
+            node.fraction("retrySlack", 0, MAX_RETRIES),
+            node.number("retryWindowS", 1, MAX_S) * MS_PER_SECOND,
+            node.number("streamPassMs", 1, MAX_MS));
     node.finish();
     return bounds;
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ReadinessServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ReadinessServer.java
@@ -8,7 +8,7 @@
 import java.util.function.BooleanSupplier;
 import org.fawndrum.state.HostAddress;
 
-/** Tells the balancer whether this host takes callers: 200 if it does, 503 if not. */
+/** Health check for the load balancer: 200 if this host accepts callers, 503 otherwise. */
 final class ReadinessServer {
   private static final int READY = 200;
   private static final int NOT_READY = 503;
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayAdapter.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayAdapter.java
@@ -4,12 +4,12 @@
 import org.fawndrum.protocol.KeyedLog;
 
 /**
- * Everything that depends on whose callers, endpoints and store a host meets.
+ * The components that depend on the platform: on its callers, endpoints and store.
  *
- * @param codec knows the messages of callers and endpoints
- * @param decoder knows the store's records
+ * @param codec reads and writes the headers of callers and endpoints
+ * @param decoder decodes the store's records
  * @param store the store's logs
- * @param orders sends orders to engines
+ * @param orders sends control requests to engines
  */
 public record RelayAdapter(
     RelayCodec codec, RelayDecoder decoder, KeyedLog store, EngineOrders orders) {}
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayAttempt.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayAttempt.java
@@ -18,49 +18,49 @@
 import org.fawndrum.state.RouteKind;
 
 /**
- * One sending of a request to one endpoint. It ends with exactly one report to its owner, unless it
- * is cancelled. Confined to its owner's event loop.
+ * One attempt to run a request on one endpoint. It reports exactly one outcome to its owner, unless
+ * it is cancelled. Confined to its owner's event loop.
  */
 final class RelayAttempt {
-  /** The lowest status of a failure on the endpoint's side. */
-  static final int LOWEST_FAILURE = 500;
+  /** The lowest HTTP status of a server-side failure. */
+  static final int MIN_FAILURE_STATUS = 500;
 
-  private static final int LOWEST_SUCCESS = 200;
-  private static final int ABOVE_SUCCESS = 300;
+  private static final int MIN_SUCCESS_STATUS = 200;
+  private static final int MIN_REDIRECT_STATUS = 300;
 
-  /** The priority of the most urgent requests; their urgency is 0. */
-  private static final int HIGHEST_PRIORITY = 9;
+  /** The highest priority; it corresponds to urgency 0. */
+  private static final int MAX_PRIORITY = 9;
 
   private final Action.Send send;
   private final RelayCall call;
   private final long lastEventId;
-  private final RelayTools tools;
+  private final RelayContext relay;
   private final PromptMemory memory;
   private final AttemptOwner owner;
   private final EngineLiveness liveness;
   private HttpClientRequest request;
-  private HttpClientResponse answer;
-  private long progressMs;
-  private boolean begun;
+  private HttpClientResponse response;
+  private long lastProgressMs;
+  private boolean hasFirstEvent;
   private boolean stallReported;
-  private boolean askingWhatIsLeft;
-  private boolean ended;
+  private boolean checkingEndpoint;
+  private boolean finished;
 
   RelayAttempt(
       Action.Send send,
       RelayCall call,
       long lastEventId,
-      RelayTools tools,
+      RelayContext relay,
       PromptMemory memory,
       AttemptOwner owner) {
     this.send = send;
     this.call = call;
     this.lastEventId = lastEventId;
-    this.tools = tools;
+    this.relay = relay;
     this.memory = memory;
     this.owner = owner;
     this.liveness =
-        new EngineLiveness(this::probe, tools.clock(), memory::neededAt, this::engineDead);
+        new EngineLiveness(this::probe, relay.clock(), memory::renewOnEvidence, this::engineFailed);
   }
 
   AttemptId id() {
@@ -76,23 +76,23 @@
   }
 
   int answerStatus() {
-    return answer.statusCode();
+    return response.statusCode();
   }
 
   MultiMap answerHeaders() {
-    return answer.headers();
+    return response.headers();
   }
 
-  /** Sets memory aside where it is needed, then connects and sends. */
+  /** Reserves memory if needed, then connects and sends. */
   void start() {
     memory
         .reserve()
         .onComplete(
-            held -> {
-              if (held.succeeded()) {
+            reservation -> {
+              if (reservation.succeeded()) {
                 connect();
               } else {
-                // The engine that did not answer is at fault, not the one that was to be asked.
+                // The helper engine that did not answer is at fault, not this attempt's endpoint.
                 memory.unreachable().ifPresent(helper -> owner.helperRefused(this, helper));
                 fail(AttemptEvent.CONNECT_FAILED);
               }
@@ -100,10 +100,10 @@
   }
 
   private void connect() {
-    if (ended) {
+    if (finished) {
       return;
     }
-    tools
+    relay
         .client()
         .request(send.endpoint(), call.method(), call.uri(), call.route().repeatable())
         .onComplete(
@@ -116,17 +116,16 @@
             });
   }
 
-  /** Returns when something last came from the endpoint, by the host's clock. */
-  long progressMs() {
-    return progressMs;
+  /** Returns the time of the last data from the endpoint, by the host's clock. */
+  long lastProgressMs() {
+    return lastProgressMs;
   }
 
-  /** Tells whether a first event came. */
-  boolean begun() {
-    return begun;
+  boolean hasFirstEvent() {
+    return hasFirstEvent;
   }
 
-  RequestAims aims() {
+  RequestAims latencyTargets() {
     return call.route().aims();
   }
 
@@ -134,44 +133,44 @@
     return call.route().repeatable();
   }
 
-  boolean holdsMemory() {
-    return memory.held();
+  boolean hasReservedMemory() {
+    return memory.isReserved();
   }
 
-  /** Returns how long ago the endpoint last gave a sign of life, in milliseconds. */
+  /** Returns the time since the endpoint's last sign of life, in milliseconds. */
   long silentMs() {
     return liveness.silentMs();
   }
 
-  /** Tells whether its endpoint is an engine on whose life anything depends besides its events. */
-  boolean engineMatters() {
+  /** Returns whether the endpoint is an engine to be probed even if no event is overdue. */
+  boolean dependsOnEngine() {
     boolean engine = send.endpoint().kind() == EndpointKind.MODEL;
-    boolean silenceSaysNothing = !begun && StallWatch.mayBeLong(aims());
-    return engine && (silenceSaysNothing || memory.held());
+    boolean silenceExpected = !hasFirstEvent && StallWatch.isFirstEventUnlimited(latencyTargets());
+    return engine && (silenceExpected || memory.isReserved());
   }
 
-  /** Has the engine probed if it is silent and anything depends on its life. */
-  void checkEngine() {
-    if (engineMatters()) {
+  /** Probes the engine if it is silent and this attempt depends on it. */
+  void probeEngineIfSilent() {
+    if (dependsOnEngine()) {
       liveness.probeIfSilent();
     }
   }
 
-  /** Asks whether the engine lives, and those that hold memory whether it is still used. */
+  /** Checks that the engine is alive, and that helper engines' memory is still in use. */
   private Future<Void> probe() {
-    return memory.stillUsed(tools.orders().report(send.endpoint()));
+    return memory.checkStillUsed(relay.engineControl().report(send.endpoint()));
   }
 
-  private void engineDead(Throwable why) {
-    tools
-        .decisions()
+  private void engineFailed(Throwable why) {
+    relay
+        .decisionLog()
         .engineSilent(call.request().requestId(), endpointName(), liveness.silentMs(), why);
     abandon();
   }
 
   /**
-   * Reports that nothing comes any more; another attempt may take the place of this one, which is
-   * then cancelled. Until then it goes on, and its engine is asked whether it lives.
+   * Reports that the attempt is stalled; another one may replace it, which cancels this one. Until
+   * then it continues, and its engine is probed.
    */
   void stalled() {
     if (!stallReported) {
@@ -179,44 +178,44 @@
       owner.stalled(this);
     }
     if (send.endpoint().kind() == EndpointKind.MODEL) {
-      liveness.suspect();
+      liveness.probeOverdue();
     }
   }
 
-  /** Ends the attempt because nobody waits for it any more; its owner hears nothing. */
+  /** Ends the attempt because its result is no longer needed; the owner is not notified. */
   void cancel() {
-    end();
+    finish();
     if (request != null) {
       request.reset();
     }
   }
 
-  private void connected(HttpClientRequest ready) {
-    if (ended) {
-      ready.reset();
+  private void connected(HttpClientRequest connectedRequest) {
+    if (finished) {
+      connectedRequest.reset();
       return;
     }
-    if (tools.rests().lasts(send.endpoint().identity(), tools.clock().nowMs())) {
-      // The endpoint was chosen before it asked for rest; the connection took until after that.
-      ready.reset();
+    if (relay.backoffs().lasts(send.endpoint().identity(), relay.clock().nowMs())) {
+      // The endpoint requested the backoff while the connection was established.
+      connectedRequest.reset();
       fail(AttemptEvent.ENDPOINT_RESTS);
       return;
     }
-    request = ready;
-    request.headers().addAll(tools.codec().forEndpoint(call.headers(), sending()));
+    request = connectedRequest;
+    request.headers().addAll(relay.codec().forEndpoint(call.headers(), sending()));
     request.exceptionHandler(cause -> connectionLost());
     owner.handedOver();
-    progressMs = tools.clock().nowMs();
-    liveness.heard();
-    if (repeatable() || memory.held()) {
-      tools.stalls().add(this);
+    lastProgressMs = relay.clock().nowMs();
+    liveness.recordActivity();
+    if (repeatable() || memory.isReserved()) {
+      relay.stallWatch().add(this);
     }
     request
         .send(call.body())
         .onComplete(
             head -> {
               if (head.succeeded()) {
-                answered(head.result());
+                headReceived(head.result());
               } else {
                 connectionLost();
               }
@@ -227,58 +226,58 @@
     return new RelayCodec.Sending(
         send.endpoint(),
         call.workspace().name(),
-        Math.max(1, send.deadlineMs() - tools.clock().nowMs()),
-        HIGHEST_PRIORITY - send.priority(),
+        Math.max(1, send.deadlineMs() - relay.clock().nowMs()),
+        MAX_PRIORITY - send.priority(),
         lastEventId,
         memory.helpers());
   }
 
-  private void answered(HttpClientResponse head) {
+  private void headReceived(HttpClientResponse head) {
     String requestId = call.request().requestId();
-    RelayCodec.Answer kind = tools.codec().answer(head.statusCode(), head.headers(), requestId);
-    hearNotice(kind, head);
-    if (ended) {
+    RelayCodec.Answer kind = relay.codec().answer(head.statusCode(), head.headers(), requestId);
+    forwardNotice(kind, head);
+    if (finished) {
       return;
     }
-    answer = head;
-    liveness.heard();
+    response = head;
+    liveness.recordActivity();
     head.exceptionHandler(cause -> connectionLost());
     switch (kind) {
-      case NOT_RUN, OTHER_ENDPOINT -> refused(head.headers());
+      case NOT_RUN, OTHER_ENDPOINT -> refusedByEndpoint(head.headers());
       case FOREIGN -> abandon();
       default -> {
         boolean success = isSuccess(head.statusCode());
         if (success && call.route().kind() == RouteKind.STREAM) {
           readEvents(head);
         } else {
-          readWhole(head);
+          readBody(head);
         }
       }
     }
   }
 
-  /** Hands on what the endpoint says about itself, also where nobody waits for its answer. */
-  private void hearNotice(RelayCodec.Answer kind, HttpClientResponse head) {
-    boolean its = kind == RelayCodec.Answer.OWN || kind == RelayCodec.Answer.NOT_RUN;
+  /** Forwards a notice of the endpoint, even if its answer is no longer needed. */
+  private void forwardNotice(RelayCodec.Answer kind, HttpClientResponse head) {
+    boolean own = kind == RelayCodec.Answer.OWN || kind == RelayCodec.Answer.NOT_RUN;
     EndpointNotice notice =
-        its ? tools.codec().notice(head.statusCode(), head.headers()) : EndpointNotice.NONE;
+        own ? relay.codec().notice(head.statusCode(), head.headers()) : EndpointNotice.NONE;
     if (!notice.equals(EndpointNotice.NONE)) {
-      tools.notices().heard(send.endpoint().identity(), notice);
+      relay.noticeListener().heard(send.endpoint().identity(), notice);
     }
   }
 
-  private void refused(MultiMap headers) {
-    if (!ended) {
-      tools
+  private void refusedByEndpoint(MultiMap headers) {
+    if (!finished) {
+      relay
           .codec()
           .endpointAtFault(headers)
-          .flatMap(this::helperNamed)
+          .flatMap(this::findHelper)
           .ifPresent(helper -> owner.helperRefused(this, helper));
     }
     fail(AttemptEvent.REFUSED_BY_ENDPOINT);
   }
 
-  private Optional<HostIdentity> helperNamed(String nameOrAddress) {
+  private Optional<HostIdentity> findHelper(String nameOrAddress) {
     return send.helpers().stream()
         .map(Action.Helper::endpoint)
         .filter(
@@ -290,110 +289,109 @@
   }
 
   private static boolean isSuccess(int status) {
-    return status >= LOWEST_SUCCESS && status < ABOVE_SUCCESS;
+    return status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS;
   }
 
-  /** Ends a connection on which nothing can be trusted any more. */
+  /** Fails the attempt because the data on its connection is unreliable. */
   private void abandon() {
     request.reset();
     fail(AttemptEvent.LOST);
   }
 
   /**
-   * Fails the attempt, and first finds out whether the endpoint ended or only the connection did:
-   * the one says something about the request, the other does not. A live endpoint answers that
-   * within a millisecond or two.
+   * Fails the attempt after determining whether the endpoint crashed, maybe due to the request, or
+   * only the connection was lost. A live endpoint answers within one or two milliseconds.
    */
   private void connectionLost() {
-    if (ended || askingWhatIsLeft) {
+    if (finished || checkingEndpoint) {
       return;
     }
-    askingWhatIsLeft = true;
-    tools
+    checkingEndpoint = true;
+    relay
         .client()
-        .refuses(send.endpoint())
+        .refusesConnections(send.endpoint())
         .onComplete(
             refuses -> {
-              boolean gone = refuses.succeeded() && refuses.result();
-              if (gone && !ended) {
-                tools.decisions().endpointEnded(call, send.endpoint());
-                owner.endpointEnded(this);
+              boolean crashed = refuses.succeeded() && refuses.result();
+              if (crashed && !finished) {
+                relay.decisionLog().endpointCrashed(call, send.endpoint());
+                owner.endpointCrashed(this);
               }
               fail(AttemptEvent.LOST);
             });
   }
 
-  private void readWhole(HttpClientResponse head) {
+  private void readBody(HttpClientResponse head) {
     head.body()
         .onComplete(
             body -> {
               if (body.succeeded()) {
-                endWhole(head, body.result());
+                completeAnswer(head, body.result());
               } else {
                 connectionLost();
               }
             });
   }
 
-  private void endWhole(HttpClientResponse head, Buffer body) {
-    if (!ended) {
-      end();
-      owner.whole(this, new RelayExchange.WholeAnswer(head.statusCode(), head.headers(), body));
+  private void completeAnswer(HttpClientResponse head, Buffer body) {
+    if (!finished) {
+      finish();
+      owner.answered(this, new RelayExchange.WholeAnswer(head.statusCode(), head.headers(), body));
     }
   }
 
   private void readEvents(HttpClientResponse head) {
     EventSplitter splitter = new EventSplitter();
-    head.handler(piece -> pass(splitter.take(piece)));
+    head.handler(bytes -> forwardEvents(splitter.append(bytes)));
     head.endHandler(
         v -> {
-          if (!ended) {
-            endStream(splitter.midEvent());
+          if (!finished) {
+            completeStream(splitter.hasPartialEvent());
           }
         });
   }
 
-  private void endStream(boolean midEvent) {
-    if (midEvent) {
+  private void completeStream(boolean partialEvent) {
+    if (partialEvent) {
       abandon();
       return;
     }
-    end();
-    owner.streamEnded(this);
+    finish();
+    owner.streamCompleted(this);
   }
 
-  private void pass(List<EventSplitter.StreamEvent> events) {
+  private void forwardEvents(List<EventSplitter.StreamEvent> events) {
     if (!events.isEmpty()) {
-      progressMs = tools.clock().nowMs();
-      liveness.heard();
-      memory.begun();
-      begun = true;
+      lastProgressMs = relay.clock().nowMs();
+      liveness.recordActivity();
+      memory.answerStarted();
+      hasFirstEvent = true;
       stallReported = false;
     }
     for (EventSplitter.StreamEvent event : events) {
-      if (ended) {
+      if (finished) {
         return;
       }
-      if (!owner.event(this, event)) {
+      if (!owner.eventReceived(this, event)) {
         abandon();
       }
     }
   }
 
   private void fail(AttemptEvent event) {
-    if (!ended) {
-      end();
+    if (!finished) {
+      finish();
       owner.failed(this, event);
     }
   }
 
-  private void end() {
-    ended = true;
-    tools.stalls().remove(this);
-    liveness.end();
-    if (memory.held()) {
-      tools.decisions().memoryFreed(call.request().requestId(), endpointName(), memory.usage());
+  private void finish() {
+    finished = true;
+    relay.stallWatch().remove(this);
+    liveness.stop();
+    if (memory.isReserved()) {
+      relay.decisionLog().memoryFreed(call.request().requestId(), endpointName(), memory.usage());
     }
-    memory.free();
+    memory.release();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayBounds.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayBounds.java
@@ -2,18 +2,19 @@
 package org.fawndrum.transport.relay;
 
 /**
- * Times that operators promise or allow.
+ * Limits that operators guarantee or permit.
  *
- * @param keysNeedProof whether a host refuses requests with a key once it cannot prove any more
- *     that no newer configuration took the key away; otherwise it goes on with the last one it
- *     knows
- * @param revokeMs after how long without such a proof it refuses them, in milliseconds
- * @param drainMs after how long a leaving endpoint must get no new work, in milliseconds
- * @param graceMs the time between the order to stop and the end, in milliseconds
- * @param retryRatio sends beyond the first, in proportion to requests of a service
- * @param retrySlack sends beyond the first that are allowed in any case, over all hosts
- * @param retryWindowMs the window over which the two count, in milliseconds
- * @param streamPassMs how fast an event must be passed on, in milliseconds
+ * @param keysNeedProof whether a host rejects requests with a key once it can no longer prove that
+ *     no newer configuration revoked the key; otherwise it continues with the last configuration
+ *     that it knows
+ * @param revokeMs how long after the last such proof it starts to reject them, in milliseconds
+ * @param drainMs how long after the start of its shutdown an endpoint may still receive new work,
+ *     in milliseconds
+ * @param graceMs the time between the stop signal and the kill, in milliseconds
+ * @param retryRatio permitted retries in proportion to the requests of a service
+ * @param retrySlack permitted retries in addition to that, over all hosts
+ * @param retryWindowMs the window over which the two are counted, in milliseconds
+ * @param streamPassMs the time within which a stream event must be forwarded, in milliseconds
  */
 public record RelayBounds(
     boolean keysNeedProof,
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayCall.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayCall.java
@@ -9,16 +9,16 @@
 import org.fawndrum.state.Workspace;
 
 /**
- * A whole request of a known caller.
+ * A complete request of an identified caller.
  *
- * @param request what its headers say
- * @param route the route that took it
- * @param workspace who asks
+ * @param request the content of its headers
+ * @param route the matching route
+ * @param workspace the caller's workspace
  * @param method its method
- * @param uri path and query, as they came
- * @param headers its headers, as they came
+ * @param uri path and query, as received
+ * @param headers its headers, as received
  * @param body its body
- * @param content what it asks, to be compared with other requests
+ * @param content the parts of the request that identify it for comparison with other requests
  */
 record RelayCall(
     RelayRequest request,
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayCodec.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayCodec.java
@@ -8,42 +8,51 @@
 import org.fawndrum.state.Endpoint;
 import org.fawndrum.state.HostAddress;
 
-/** Knows the names in the messages of callers and endpoints. Immutable, safe for all threads. */
+/**
+ * Reads and writes the headers of callers' requests and endpoints' responses. Immutable and
+ * thread-safe.
+ */
 public interface RelayCodec {
   /**
    * Reads the headers of a caller's request.
    *
-   * @throws org.fawndrum.errors.RefusedException if they make no sense
+   * @throws org.fawndrum.errors.RefusedException if they are invalid
    */
   RelayRequest read(MultiMap headers);
 
-  /** Returns the headers that an endpoint gets instead of the caller's. */
+  /** Returns the headers to send to an endpoint in place of the caller's. */
   MultiMap forEndpoint(MultiMap fromCaller, Sending sending);
 
-  /** Returns what the head of an endpoint's answer says. */
+  /** Classifies an endpoint's response by its status and headers. */
   Answer answer(int status, MultiMap headers, String requestId);
 
-  /** Returns what an endpoint says about itself in the head of an answer that is its own. */
+  /**
+   * Returns the notice in the headers of an endpoint's own response; {@link EndpointNotice#NONE} if
+   * it contains none.
+   */
   EndpointNotice notice(int status, MultiMap headers);
 
-  /** Returns what a refusal names as the endpoint at fault: an id or an address; or nothing. */
+  /**
+   * Returns the id or address of the endpoint that a refusal names as the one at fault; empty if it
+   * names none.
+   */
   Optional<String> endpointAtFault(MultiMap headers);
 
-  /** Returns the headers that the caller gets. */
+  /** Returns the headers to send to the caller in place of the endpoint's. */
   MultiMap forCaller(MultiMap fromEndpoint);
 
-  /** Returns the headers of an answer that no endpoint gave. */
+  /** Returns the headers of a refusal by this host. */
   MultiMap ofRefusal(String requestId, Refusal refusal);
 
   /**
-   * One sending of a request.
+   * The parameters of an attempt that its headers carry.
    *
-   * @param endpoint where to
-   * @param workspace who asks
-   * @param leftMs how long the answer may take, in milliseconds
+   * @param endpoint the endpoint of the attempt
+   * @param workspace the caller's workspace
+   * @param leftMs the time left until the deadline, in milliseconds
    * @param urgency from 0, the most urgent, to 9
-   * @param lastEventId the last event that the caller has; 0 to begin
-   * @param helpers the other engines that take part, none for most requests
+   * @param lastEventId the last event that the caller has received; 0 to start from the beginning
+   * @param helpers the helper engines; none for most requests
    */
   record Sending(
       Endpoint endpoint,
@@ -52,29 +61,29 @@
       int urgency,
       long lastEventId,
       List<Helper> helpers) {
-    /** Copies the list, so that the sending cannot change. */
+    /** Copies the list, so that the record is immutable. */
     public Sending {
       helpers = List.copyOf(helpers);
     }
   }
 
   /**
-   * Another engine that takes part in reading a prompt.
+   * A helper engine that prefills a prompt segment.
    *
-   * @param address where it listens
-   * @param ticket names the memory that was set aside there; empty for none
+   * @param address its address
+   * @param ticket identifies the memory reserved on it; empty if none is
    */
   record Helper(HostAddress address, String ticket) {}
 
-  /** What the head of an answer says of the request. */
+  /** The kind of a response. */
   enum Answer {
-    /** It belongs to the request and comes from the endpoint. */
+    /** A response of the endpoint to this request. */
     OWN,
     /** The endpoint did not run the request and will not. */
     NOT_RUN,
-    /** The endpoint at the address is another one; it did not run the request. */
+    /** A different endpoint uses the address now; it did not run the request. */
     OTHER_ENDPOINT,
-    /** It belongs to another request or is spoiled; nothing can be read from it. */
+    /** A response to another request, or a corrupt one; none of its content is reliable. */
     FOREIGN
   }
 }
--- /dev/null
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayContext.java
@@ -0,0 +1,30 @@
+// SPDX-License-Identifier: Apache-2.0
+package org.fawndrum.transport.relay;
+
+import org.fawndrum.coordination.EndpointRests;
+import org.fawndrum.internal.log.HostLog;
+import org.fawndrum.transport.HostClock;
+
+/**
+ * The components that every relayed request uses.
+ *
+ * @param client the connections to endpoints
+ * @param codec reads and writes the headers of callers and endpoints
+ * @param engineControl sends control requests to engines
+ * @param backoffs the endpoints that requested a backoff of this host
+ * @param noticeListener receives the notices of endpoints
+ * @param stallWatch detects stalled attempts
+ * @param clock the host's clock
+ * @param decisionLog logs events of requests
+ * @param log receives other log events
+ */
+record RelayContext(
+    EndpointClient client,
+    RelayCodec codec,
+    EngineOrders engineControl,
+    EndpointRests backoffs,
+    EndpointNotices noticeListener,
+    StallWatch stallWatch,
+    HostClock clock,
+    DecisionLog decisionLog,
+    HostLog log) {}
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDecoder.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDecoder.java
@@ -5,40 +5,40 @@
 import org.fawndrum.state.Endpoint;
 import org.fawndrum.state.RouteTable;
 
-/** Decodes the platform's records. Immutable, safe for all threads. */
+/** Decodes the platform's records. Immutable and thread-safe. */
 public interface RelayDecoder {
-  /** Tells whether a record of the operators' log holds the configuration. */
+  /** Returns whether a record of the operators' log contains the configuration. */
   boolean isConfiguration(KeyedRecord record);
 
   /**
-   * Returns the configuration of a record.
+   * Decodes the configuration in a record.
    *
-   * @throws org.fawndrum.errors.RecordUnreadableException if it makes no sense
+   * @throws org.fawndrum.errors.RecordUnreadableException if the record is invalid
    */
   RouteTable configuration(KeyedRecord record);
 
   /**
-   * Returns what an endpoint's record says.
+   * Decodes an endpoint's entry.
    *
-   * @throws org.fawndrum.errors.RecordUnreadableException if it makes no sense
+   * @throws org.fawndrum.errors.RecordUnreadableException if the record is invalid
    */
   EndpointEntry endpoint(KeyedRecord record);
 
   /**
-   * What an endpoint says of itself.
+   * The entry that an endpoint writes about itself.
    *
    * @param endpoint the endpoint
-   * @param leaving whether it is leaving
-   * @param sequence rises with each time that the endpoint writes its entry
+   * @param leaving whether it is shutting down
+   * @param sequence increases each time that the endpoint writes its entry
    */
   record EndpointEntry(Endpoint endpoint, boolean leaving, long sequence) {
-    /** Tells whether another entry says the same, whenever it was written. */
-    boolean saysTheSame(EndpointEntry other) {
+    /** Returns whether another entry is equal apart from the time at which it was written. */
+    boolean hasSameContent(EndpointEntry other) {
       return other != null && endpoint.equals(other.endpoint) && leaving == other.leaving;
     }
 
-    /** Tells whether the endpoint wrote this before another entry of its. */
-    boolean isBefore(EndpointEntry other) {
+    /** Returns whether the endpoint wrote this entry before another one. */
+    boolean isOlderThan(EndpointEntry other) {
       long start = endpoint.incarnation();
       long otherStart = other.endpoint.incarnation();
       return start < otherStart || start == otherStart && sequence < other.sequence;
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
@@ -13,172 +13,186 @@
 import org.fawndrum.transport.HostClock;
 
 /**
- * The end of a host that relays requests: what is in progress ends, as far as the grace period
- * allows; what is new is taken as far as it surely ends in time; and what is still open in the end
- * gets a final answer before the process goes. Safe for all threads.
+ * Drains a host that relays requests. Requests in progress complete as far as the grace period
+ * permits; new requests are accepted only if they certainly complete in time; and requests that are
+ * still open at the end receive a final answer before the process exits. Thread-safe.
  */
 final class RelayDrain {
-  /** After this the balancer sends no new connections, in milliseconds from the order to stop. */
-  private static final long BALANCER_MS = 2_500;
+  /**
+   * Time from the stop signal after which the load balancer opens no new connections, in
+   * milliseconds.
+   */
+  private static final long BALANCER_UPDATE_MS = 2_500;
 
-  /** How often the host looks whether anything is left, in milliseconds. */
-  private static final long LOOK_MS = 100;
+  /** Interval of the checks for remaining connections and requests, in milliseconds. */
+  private static final long POLL_MS = 100;
 
-  /** How often the host looks whether its last answers are given, in milliseconds. */
-  private static final long ANSWERS_LOOK_MS = 5;
+  /** Interval of the checks for pending answers, in milliseconds. */
+  private static final long ANSWERS_POLL_MS = 5;
 
   /**
-   * How long the last bytes to callers and the last lines of the log have to leave, in
-   * milliseconds: they are handed to the system within a few.
+   * Time allowed for sending the last bytes to callers and the last log lines, in milliseconds:
+   * they are passed to the operating system within a few.
    */
-  private static final long LEAVE_MS = 50;
+  private static final long FLUSH_MS = 50;
 
   /**
-   * How long requests that were read last have for their answers, in milliseconds: all of them are
-   * refusals that are decided within a few.
+   * Time allowed for answering the requests that were read last, in milliseconds: all answers are
+   * refusals, which are decided within a few.
    */
   private static final long LAST_ANSWERS_MS = 100;
 
   private final Vertx vertx;
   private final RelayServer callers;
   private final RelayDuty decisions;
-  private final Consumer<RelayEvent> orders;
+  private final Consumer<RelayEvent> events;
   private final Supplier<RelayBounds> bounds;
-  private final AwakeTimes awake;
+  private final AwakeTimes awakeTimes;
   private final HostClock clock;
   private final HostLog log;
-  private final CompletableFuture<Void> done = new CompletableFuture<>();
-  private volatile boolean begun;
-  private volatile boolean decided;
+  private final CompletableFuture<Void> completion = new CompletableFuture<>();
+  private volatile boolean started;
+  private volatile boolean finalAnswersOrdered;
 
-  /** When the host looked last, by the steady clock, and how late it came at worst. */
-  private long lookedNanos;
+  /** Time of the last check, by the monotonic clock, and the maximum delay of a check so far. */
+  private long polledNanos;
 
-  private long lateMs;
+  private long maxDelayMs;
 
   /**
-   * Makes the end of a host, not begun.
+   * Creates a drain that has not started.
    *
-   * @param orders hands events to the decisions without losing any
-   * @param awake when the host last was awake
+   * @param events delivers events to the decision duty without losing any
+   * @param awakeTimes the times at which the host was running
    */
   RelayDrain(
       Vertx vertx,
       RelayServer callers,
       RelayDuty decisions,
-      Consumer<RelayEvent> orders,
+      Consumer<RelayEvent> events,
       Supplier<RelayBounds> bounds,
-      AwakeTimes awake,
+      AwakeTimes awakeTimes,
       HostClock clock,
       HostLog log) {
     this.vertx = vertx;
     this.callers = callers;
     this.decisions = decisions;
-    this.orders = orders;
+    this.events = events;
     this.bounds = bounds;
-    this.awake = awake;
+    this.awakeTimes = awakeTimes;
     this.clock = clock;
     this.log = log;
   }
 
-  /** Tells whether the order to stop came. */
-  boolean begun() {
-    return begun;
+  /** Returns whether the drain has started. */
+  boolean started() {
+    return started;
   }
 
-  /** Begins; the future completes when the process may end. Another order changes nothing. */
-  CompletableFuture<Void> begin() {
-    if (begun) {
-      return done;
+  /**
+   * Starts the drain. The future completes when the process may exit. Has no effect when called
+   * again.
+   */
+  CompletableFuture<Void> start() {
+    if (started) {
+      return completion;
     }
-    begun = true;
-    long begunMs = clock.nowMs();
-    long orderedMs = awake.earliestMs(begunMs);
-    log.event(LogEvent.DRAIN_BEGAN, Integer.toString(decisions.open()), begunMs - orderedMs);
-    StopWindow window = StopWindow.from(orderedMs, begunMs, bounds.get().graceMs());
-    orders.accept(new RelayEvent.StopOrdered(window));
-    vertx.runOnContext(v -> callers.stop());
-    lookedNanos = System.nanoTime();
-    vertx.setPeriodic(LOOK_MS, id -> look(id, begunMs, window));
-    return done;
+    started = true;
+    long startedMs = clock.nowMs();
+    long signaledMs = awakeTimes.earliestMs(startedMs);
+    log.event(
+        LogEvent.DRAIN_BEGAN, Integer.toString(decisions.openRequests()), startedMs - signaledMs);
+    StopWindow window = StopWindow.from(signaledMs, startedMs, bounds.get().graceMs());
+    events.accept(new RelayEvent.StopSignaled(window));
+    vertx.runOnContext(v -> callers.startDraining());
+    polledNanos = System.nanoTime();
+    vertx.setPeriodic(POLL_MS, id -> poll(id, startedMs, window));
+    return completion;
   }
 
-  private void look(long timer, long begunMs, StopWindow window) {
-    cameAt(System.nanoTime());
+  private void poll(long timer, long startedMs, StopWindow window) {
+    recordDelay(System.nanoTime());
     long nowMs = clock.nowMs();
-    boolean last = nowMs >= window.endMs(lateMs);
-    if (!last && nowMs - begunMs < BALANCER_MS) {
+    boolean expired = nowMs >= window.endMs(maxDelayMs);
+    if (!expired && nowMs - startedMs < BALANCER_UPDATE_MS) {
       return;
     }
     callers.closeIdle();
-    if (last || decisions.open() == 0 && callers.connections() == 0) {
+    if (expired || decisions.openRequests() == 0 && callers.connections() == 0) {
       vertx.cancelTimer(timer);
-      end(window);
+      answerOpenRequests(window);
     }
   }
 
-  /** Takes note of how late the event loop comes to a look: so late come answers too. */
-  private void cameAt(long nanos) {
-    long betweenMs = TimeUnit.NANOSECONDS.toMillis(nanos - lookedNanos);
-    lateMs = Math.max(lateMs, betweenMs - LOOK_MS);
-    lookedNanos = nanos;
+  /** Records the delay of a check on the event loop; answers are delayed as much. */
+  private void recordDelay(long nanos) {
+    long betweenMs = TimeUnit.NANOSECONDS.toMillis(nanos - polledNanos);
+    maxDelayMs = Math.max(maxDelayMs, betweenMs - POLL_MS);
+    polledNanos = nanos;
   }
 
   /**
-   * Has what is open answered, because the end of the process would cut it without an answer, and
-   * waits for that: a busy host may take long until it comes to it. The decisions' report is taken
-   * on the event loop, behind the answers that were ordered before it.
+   * Answers all open requests, because the exit of the process would cut them off without an
+   * answer, and waits for these answers, which may take long on a busy host. The completion report
+   * of the decision duty is handled on the event loop, after the answers that were queued there
+   * before it.
    */
-  private void end(StopWindow window) {
-    orders.accept(new RelayEvent.Ending(() -> vertx.runOnContext(v -> decided = true)));
-    vertx.setPeriodic(ANSWERS_LOOK_MS, id -> lookForAnswers(id, window));
+  private void answerOpenRequests(StopWindow window) {
+    events.accept(
+        new RelayEvent.DrainEnding(() -> vertx.runOnContext(v -> finalAnswersOrdered = true)));
+    vertx.setPeriodic(ANSWERS_POLL_MS, id -> pollAnswers(id, window));
   }
 
-  private void lookForAnswers(long timer, StopWindow window) {
-    boolean answered = decided && callers.busy() == 0;
-    if (answered || clock.nowMs() >= window.goneMs() - LEAVE_MS) {
+  private void pollAnswers(long timer, StopWindow window) {
+    boolean answered = finalAnswersOrdered && callers.busyConnections() == 0;
+    if (answered || clock.nowMs() >= window.goneMs() - FLUSH_MS) {
       vertx.cancelTimer(timer);
-      log.event(LogEvent.DRAIN_ENDED, account());
-      vertx.setTimer(LEAVE_MS, id -> leave(window));
+      log.event(LogEvent.DRAIN_ENDED, summary());
+      vertx.setTimer(FLUSH_MS, id -> complete(window));
     }
   }
 
   /**
-   * Ends. A host that ends early, because nothing was left, first looks whether somebody connected
-   * meanwhile who would be cut. One whose time is over reads nothing more, and ends when whatever
-   * it read until then has its answer.
+   * Completes the drain. A host that stops early, because no requests remained, first checks for
+   * callers that have connected meanwhile and would be cut off. A host whose time is over stops
+   * reading, and exits when everything that it has read is answered.
    */
-  private void leave(StopWindow window) {
+  private void complete(StopWindow window) {
     callers.closeIdle();
     long nowMs = clock.nowMs();
     if (callers.connections() == 0 || nowMs >= window.goneMs()) {
-      done.complete(null);
-    } else if (nowMs < window.endMs(lateMs)) {
-      vertx.setTimer(LEAVE_MS, id -> leave(window));
+      completion.complete(null);
+    } else if (nowMs < window.endMs(maxDelayMs)) {
+      vertx.setTimer(FLUSH_MS, id -> complete(window));
     } else {
       callers.stopReading();
-      long untilMs = Math.min(nowMs + LAST_ANSWERS_MS + lateMs, window.goneMs() - LEAVE_MS);
-      vertx.setPeriodic(ANSWERS_LOOK_MS, id -> lookForLastAnswers(id, untilMs));
+      long untilMs = Math.min(nowMs + LAST_ANSWERS_MS + maxDelayMs, window.goneMs() - FLUSH_MS);
+      vertx.setPeriodic(ANSWERS_POLL_MS, id -> pollLastAnswers(id, untilMs));
     }
   }
 
-  /** What was read in part only is never whole: it is no reason to stay for longer. */
-  private void lookForLastAnswers(long timer, long untilMs) {
-    if (callers.busy() == 0 || clock.nowMs() >= untilMs) {
+  /**
+   * Connections that sent only part of a request do not delay the exit: such requests never
+   * complete.
+   */
+  private void pollLastAnswers(long timer, long untilMs) {
+    if (callers.busyConnections() == 0 || clock.nowMs() >= untilMs) {
       vertx.cancelTimer(timer);
-      vertx.setTimer(LEAVE_MS, id -> done.complete(null));
+      vertx.setTimer(FLUSH_MS, id -> completion.complete(null));
     }
   }
 
-  private String account() {
-    String decisionsSay =
-        decisions.turnedAway()
+  private String summary() {
+    String decisionSummary =
+        decisions.rejectedRequests()
             + " requests turned away, "
-            + decisions.givenUp()
+            + decisions.abortedRequests()
             + " given up, at most "
-            + lateMs
+            + maxDelayMs
             + " ms late";
-    int cut = callers.busy();
-    return cut == 0 ? decisionsSay : decisionsSay + ", " + cut + " cut without an answer";
+    int unanswered = callers.busyConnections();
+    return unanswered == 0
+        ? decisionSummary
+        : decisionSummary + ", " + unanswered + " cut without an answer";
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
@@ -27,108 +27,113 @@
 import org.fawndrum.transport.OpenExchanges;
 
 /**
- * The thread that decides about relayed requests. It feeds events with their time to the
- * coordinator and has the actions carried out. Its methods are safe for all threads and never
- * block.
+ * The decision duty: the thread that decides about relayed requests. It passes events with their
+ * time to the coordinator and executes the resulting actions. Its methods are thread-safe and do
+ * not block.
  */
 final class RelayDuty {
-  private static final int RING_EVENTS = 8_192;
+  private static final int RING_SIZE = 8_192;
 
-  /** How long the thread sleeps when nothing is due, in milliseconds. */
-  private static final long IDLE_MS = 1_000;
+  /** Maximum sleep of the thread when no work is due, in milliseconds. */
+  private static final long MAX_IDLE_MS = 1_000;
 
-  /** How often waiting requests are offered again, in milliseconds. */
-  private static final long WAITING_MS = 10;
+  /** Interval at which waiting requests are offered for placement again, in milliseconds. */
+  private static final long WAITING_POLL_MS = 10;
 
-  /** The most lines a second about requests that are suspected and not turned away. */
-  private static final int FINDING_LINES = 5;
+  /** Maximum log lines a second about suspected requests that are not rejected. */
+  private static final int MAX_FINDING_LINES_PER_SECOND = 5;
 
   private final RequestCoordinator coordinator;
-  private final EndpointRoster roster = new EndpointRoster();
+  private final EndpointRoster endpointRoster = new EndpointRoster();
   private final HostClock clock;
-  private final Consumer<Action.Announce> news;
-  private final FleetTeller fleet;
-  private final Consumer<Endpoint> startQuestions;
+  private final Consumer<Action.Announce> updates;
+  private final EndpointEventPublisher publisher;
+  private final Consumer<Endpoint> incarnationProbe;
   private final HostLog log;
   private final OpenExchanges exchanges;
   private final Duty<RelayEvent> duty;
   private RouteTable routes = RouteTable.NONE;
-  private final LineBudget findingLines = new LineBudget(FINDING_LINES);
-  private boolean givingUp;
-  private volatile int open;
+  private final LineBudget findingBudget = new LineBudget(MAX_FINDING_LINES_PER_SECOND);
+  private boolean aborting;
+  private volatile int openRequests;
   private volatile long crashSummary;
-  private volatile List<RefusedRequest> refused = List.of();
-  private volatile int leavingEndpoints;
-  private volatile int turnedAway;
-  private volatile int givenUp;
+  private volatile List<RefusedRequest> refusedRequests = List.of();
+  private volatile int drainingEndpoints;
+  private volatile int rejectedRequests;
+  private volatile int abortedRequests;
 
   /**
-   * Makes the duty, not started.
+   * Creates the duty, not started.
    *
-   * @param feed takes each decision; must not block
-   * @param news takes what other daemons should know; must not block
-   * @param fleet tells other daemons of endpoints that ended or leave
-   * @param startQuestions asks an endpoint whether this start of it leaves; must not block
+   * @param decisions receives each decision; must not block
+   * @param updates receives updates for other daemons; must not block
+   * @param publisher sends crashes and shutdowns of endpoints to other daemons
+   * @param incarnationProbe probes whether an incarnation of an endpoint is shutting down; must not
+   *     block
    */
   RelayDuty(
       RequestCoordinator coordinator,
       HostClock clock,
-      Consumer<Decision> feed,
-      Consumer<Action.Announce> news,
-      FleetTeller fleet,
-      Consumer<Endpoint> startQuestions,
+      Consumer<Decision> decisions,
+      Consumer<Action.Announce> updates,
+      EndpointEventPublisher publisher,
+      Consumer<Endpoint> incarnationProbe,
       HostLog log) {
     this.coordinator = coordinator;
     this.clock = clock;
-    this.news = news;
-    this.fleet = fleet;
-    this.startQuestions = startQuestions;
+    this.updates = updates;
+    this.publisher = publisher;
+    this.incarnationProbe = incarnationProbe;
     this.log = log;
-    this.exchanges = new OpenExchanges(feed);
-    this.duty = new Duty<>("decisions", new Ring<>(RING_EVENTS), this::handle, this::tick, log);
+    this.exchanges = new OpenExchanges(decisions);
+    this.duty = new Duty<>("decisions", new Ring<>(RING_SIZE), this::handle, this::tick, log);
   }
 
   void start() {
     duty.start();
   }
 
-  /** Returns about how many requests have no final answer. */
-  int open() {
-    return open + duty.ring().size();
+  /** Returns the approximate number of requests without a final answer. */
+  int openRequests() {
+    return openRequests + duty.ring().size();
   }
 
-  /** Returns how many new requests were turned away because the host stops. */
-  int turnedAway() {
-    return turnedAway;
+  /** Returns the number of new requests that were rejected because the host is draining. */
+  int rejectedRequests() {
+    return rejectedRequests;
   }
 
-  /** Returns how many requests were open when the host ended, and were given up. */
-  int givenUp() {
-    return givenUp;
+  /**
+   * Returns the number of requests that were still open at the end of the drain and were aborted.
+   */
+  int abortedRequests() {
+    return abortedRequests;
   }
 
-  /** Returns a number that two hosts which know of the same crashes have in common. */
+  /** Returns a hash of the known crashes; it is equal on two hosts that know the same crashes. */
   long crashSummary() {
     return crashSummary;
   }
 
-  /** Returns the requests that are turned away because endpoints end under them. */
+  /** Returns the requests that are rejected because endpoints crash while they have them. */
   List<RefusedRequest> refusedRequests() {
-    return refused;
+    return refusedRequests;
   }
 
-  /** Returns how many endpoints of the list get nothing more because they leave. */
-  int leavingEndpoints() {
-    return leavingEndpoints;
+  /**
+   * Returns the number of listed endpoints that receive no new work because they are shutting down.
+   */
+  int drainingEndpoints() {
+    return drainingEndpoints;
   }
 
-  /** Returns how many events wait for the thread. */
-  int ringFill() {
+  /** Returns the number of events in the duty's queue. */
+  int queuedEvents() {
     return duty.ring().size();
   }
 
-  /** Takes a new request with its exchange; returns false when there is no room for it. */
-  boolean arrived(RelayEvent.Arrived arrived, Exchange exchange) {
+  /** Queues a new request with its exchange; returns false if the queue is full. */
+  boolean offerRequest(RelayEvent.RequestArrived arrived, Exchange exchange) {
     String id = arrived.facts().requestId();
     exchanges.add(id, exchange);
     if (duty.offerNew(arrived)) {
@@ -138,7 +143,7 @@
     return false;
   }
 
-  /** Takes an event about work already taken; returns false when there is no room for it now. */
+  /** Queues an event about accepted work; returns false if the queue is full. */
   boolean offer(RelayEvent event) {
     return duty.offer(event);
   }
@@ -146,41 +151,41 @@
   private long tick() {
     long nowMs = clock.nowMs();
     carryOut(coordinator.tick(nowMs));
-    show();
-    long dueMs = Math.min(IDLE_MS, coordinator.nextCheckMs() - nowMs);
-    return coordinator.waiting() > 0 ? Math.min(WAITING_MS, dueMs) : dueMs;
+    publishState();
+    long dueMs = Math.min(MAX_IDLE_MS, coordinator.nextCheckMs() - nowMs);
+    return coordinator.waiting() > 0 ? Math.min(WAITING_POLL_MS, dueMs) : dueMs;
   }
 
   private void handle(RelayEvent event) {
     long nowMs = clock.nowMs();
-    if (event instanceof RelayEvent.OfRequest ofRequest) {
+    if (event instanceof RelayEvent.RequestEvent ofRequest) {
       handle(ofRequest, nowMs);
-    } else if (event instanceof RelayEvent.OfDaemon ofDaemon) {
+    } else if (event instanceof RelayEvent.PeerEvent ofDaemon) {
       handle(ofDaemon, nowMs);
-    } else if (event instanceof RelayEvent.OfEndpoints ofEndpoints) {
+    } else if (event instanceof RelayEvent.EndpointEvent ofEndpoints) {
       handle(ofEndpoints, nowMs);
-    } else if (event instanceof RelayEvent.OfHost ofHost) {
+    } else if (event instanceof RelayEvent.LifecycleEvent ofHost) {
       handle(ofHost, nowMs);
     }
-    show();
+    publishState();
   }
 
-  /** Lets other threads see where the decisions stand. */
-  private void show() {
-    open = coordinator.open();
+  /** Publishes the state of the coordinator to other threads. */
+  private void publishState() {
+    openRequests = coordinator.open();
     crashSummary = coordinator.suspects().summary();
-    refused = coordinator.suspects().refused();
+    refusedRequests = coordinator.suspects().refused();
   }
 
-  private void handle(RelayEvent.OfRequest event, long nowMs) {
-    if (event instanceof RelayEvent.Arrived arrived) {
+  private void handle(RelayEvent.RequestEvent event, long nowMs) {
+    if (event instanceof RelayEvent.RequestArrived arrived) {
       carryOut(coordinator.arrive(arrived.facts(), nowMs));
-    } else if (event instanceof RelayEvent.Attempted attempted) {
+    } else if (event instanceof RelayEvent.AttemptChanged attempted) {
       carryOut(coordinator.attempt(attempted.attempt(), attempted.event(), nowMs));
       if (!coordinator.isOpen(attempted.attempt().requestId())) {
         exchanges.remove(attempted.attempt().requestId());
       }
-    } else if (event instanceof RelayEvent.EndpointEnded ended) {
+    } else if (event instanceof RelayEvent.EndpointCrashed ended) {
       carryOut(coordinator.endpointEnded(ended.attempt(), nowMs));
     } else if (event instanceof RelayEvent.HelperRefused refused) {
       carryOut(coordinator.helperRefused(refused.attempt(), refused.helper(), nowMs));
@@ -189,114 +194,124 @@
     }
   }
 
-  private void handle(RelayEvent.OfDaemon event, long nowMs) {
-    if (event instanceof RelayEvent.Told told) {
-      learnStarts(told.reports(), nowMs);
-      carryOut(coordinator.told(told.reports(), nowMs));
+  private void handle(RelayEvent.PeerEvent event, long nowMs) {
+    if (event instanceof RelayEvent.ReportsReceived reported) {
+      detectRestarts(reported.reports(), nowMs);
+      carryOut(coordinator.told(reported.reports(), nowMs));
     } else if (event instanceof RelayEvent.DaemonGone gone) {
       carryOut(coordinator.daemonGone(gone.daemon(), nowMs));
-    } else if (event instanceof RelayEvent.WorkWanted wanted) {
+    } else if (event instanceof RelayEvent.WorkRequested wanted) {
       wanted.reply().accept(coordinator.work());
-    } else if (event instanceof RelayEvent.CrashesTold told) {
-      toldCrashes(told.told(), nowMs);
-    } else if (event instanceof RelayEvent.CrashesWanted wanted) {
-      fleet.allCrashes(wanted.by(), coordinator.suspects().all());
+    } else if (event instanceof RelayEvent.CrashesReceived reported) {
+      mergeCrashes(reported.report(), nowMs);
+    } else if (event instanceof RelayEvent.CrashesRequested wanted) {
+      publisher.sendAllCrashes(wanted.daemon(), coordinator.suspects().all());
     }
   }
 
-  /** Takes over what another daemon knows, and tells it all if it still knows less. */
-  private void toldCrashes(CrashesFrom told, long nowMs) {
-    carryOut(coordinator.suspects(one -> one.heard(told.news(), nowMs), nowMs));
-    if (told.whole() && told.summary() != coordinator.suspects().summary()) {
-      fleet.crashes(coordinator.suspects().all());
+  /**
+   * Merges the crashes that another daemon reported. If that daemon then knows fewer crashes than
+   * this host, all crashes are sent.
+   */
+  private void mergeCrashes(PeerCrashReport reported, long nowMs) {
+    carryOut(coordinator.suspects(one -> one.heard(reported.crashes(), nowMs), nowMs));
+    if (reported.complete() && reported.summary() != coordinator.suspects().summary()) {
+      publisher.publishCrashes(coordinator.suspects().all());
     }
   }
 
-  /** Work that others place at a later start of an endpoint says that it has started again. */
-  private void learnStarts(List<FleetReport> reports, long nowMs) {
-    boolean news = false;
+  /**
+   * Detects restarts: work that a peer placed on a later incarnation shows that the endpoint
+   * restarted.
+   */
+  private void detectRestarts(List<FleetReport> reports, long nowMs) {
+    boolean restarted = false;
     for (FleetReport report : reports) {
       for (EngineNews one : report.news()) {
-        news |=
-            one instanceof EngineNews.Placed placed && roster.startedAgain(placed.job().endpoint());
+        restarted |=
+            one instanceof EngineNews.Placed placed
+                && endpointRoster.startedAgain(placed.job().endpoint());
       }
     }
-    if (news) {
-      offerEndpoints(nowMs);
+    if (restarted) {
+      passEndpoints(nowMs);
     }
   }
 
-  private void handle(RelayEvent.OfEndpoints event, long nowMs) {
+  private void handle(RelayEvent.EndpointEvent event, long nowMs) {
     if (event instanceof RelayEvent.RoutesChanged changed) {
       routes = changed.routes();
       carryOut(coordinator.table(changed.table(), nowMs));
-      offerEndpoints(nowMs);
-    } else if (event instanceof RelayEvent.Listed listed) {
-      if (roster.listed(listed.listing())) {
-        offerEndpoints(nowMs);
+      passEndpoints(nowMs);
+    } else if (event instanceof RelayEvent.ListingChanged listed) {
+      if (endpointRoster.listed(listed.listing())) {
+        passEndpoints(nowMs);
       }
-    } else if (event instanceof RelayEvent.Leaving leaving) {
-      leaving(leaving, nowMs);
-    } else if (event instanceof RelayEvent.StartAsked asked) {
-      if (roster.asked(asked.start())) {
-        offerEndpoints(nowMs);
+    } else if (event instanceof RelayEvent.EndpointsShuttingDown shutdowns) {
+      shutdownsReported(shutdowns, nowMs);
+    } else if (event instanceof RelayEvent.IncarnationProbed probed) {
+      if (endpointRoster.asked(probed.incarnation())) {
+        passEndpoints(nowMs);
       }
-    } else if (event instanceof RelayEvent.RestAsked) {
+    } else if (event instanceof RelayEvent.BackoffRequested) {
       carryOut(coordinator.endpointRests(nowMs));
-    } else if (event instanceof RelayEvent.Restarted restarted) {
-      if (roster.startedAgain(restarted.start())) {
-        offerEndpoints(nowMs);
+    } else if (event instanceof RelayEvent.EndpointRestarted restarted) {
+      if (endpointRoster.startedAgain(restarted.incarnation())) {
+        passEndpoints(nowMs);
       }
     }
   }
 
   /**
-   * Sends nothing more to endpoints that leave. Their own notice is the first there is of it, and
-   * the only one while the store takes none; the other daemons hear of it once, from each that
-   * learns.
+   * Stops placing work on endpoints that are shutting down. An endpoint's own notice is the first
+   * sign of its shutdown, and the only one while the store accepts no writes; each daemon that
+   * learns of it notifies the others once.
    */
-  private void leaving(RelayEvent.Leaving event, long nowMs) {
-    List<HostIdentity> news =
-        event.endpoints().stream().filter(roster::saidLeavingInAnswer).toList();
-    if (!news.isEmpty()) {
-      news.forEach(one -> log.event(LogEvent.ENDPOINT_LEAVES, one, event.by()));
-      offerEndpoints(nowMs);
-      fleet.leaving(news);
+  private void shutdownsReported(RelayEvent.EndpointsShuttingDown event, long nowMs) {
+    List<HostIdentity> newlyReported =
+        event.endpoints().stream().filter(endpointRoster::saidLeavingInAnswer).toList();
+    if (!newlyReported.isEmpty()) {
+      newlyReported.forEach(one -> log.event(LogEvent.ENDPOINT_LEAVES, one, event.by()));
+      passEndpoints(nowMs);
+      publisher.publishShutdowns(newlyReported);
     }
   }
 
-  private void handle(RelayEvent.OfHost event, long nowMs) {
-    if (event instanceof RelayEvent.LetGo letGo) {
+  private void handle(RelayEvent.LifecycleEvent event, long nowMs) {
+    if (event instanceof RelayEvent.RequestReleased letGo) {
       log.event(LogEvent.REQUEST_LET_GO, letGo.fingerprint());
       carryOut(coordinator.suspects(one -> one.letGo(letGo.fingerprint(), nowMs), nowMs));
-    } else if (event instanceof RelayEvent.StopOrdered ordered) {
+    } else if (event instanceof RelayEvent.StopSignaled ordered) {
       coordinator.stop(ordered.window());
-    } else if (event instanceof RelayEvent.Ending end) {
-      givenUp = coordinator.open();
-      givingUp = true;
+    } else if (event instanceof RelayEvent.DrainEnding end) {
+      abortedRequests = coordinator.open();
+      aborting = true;
       carryOut(coordinator.giveUpAll(nowMs));
-      givingUp = false;
-      end.decided().run();
+      aborting = false;
+      end.onAborted().run();
     }
   }
 
-  /** Offers the endpoints with what the configuration says of their services. */
-  private void offerEndpoints(long nowMs) {
+  /** Passes the endpoints to the coordinator, with the profiles of their services. */
+  private void passEndpoints(long nowMs) {
     List<Endpoint> known =
-        roster.open().stream().map(this::described).flatMap(Optional::stream).toList();
-    leavingEndpoints = roster.listedLeaving();
-    roster.takeUnclear().forEach(this::ask);
+        endpointRoster.open().stream().map(this::withProfile).flatMap(Optional::stream).toList();
+    drainingEndpoints = endpointRoster.listedLeaving();
+    endpointRoster.takeUnclear().forEach(this::probe);
     carryOut(coordinator.endpoints(known, nowMs));
-    carryOut(coordinator.restarted(roster::isOver, nowMs));
+    carryOut(coordinator.restarted(endpointRoster::isOver, nowMs));
   }
 
-  private void ask(Endpoint endpoint) {
+  private void probe(Endpoint endpoint) {
     log.event(LogEvent.START_UNCLEAR, endpoint.identity());
-    startQuestions.accept(endpoint);
+    incarnationProbe.accept(endpoint);
   }
 
-  /** Returns an endpoint with the profile of its service; none where no service is named so. */
-  private Optional<Endpoint> described(Endpoint endpoint) {
+  /**
+   * Returns an endpoint with the profile of its service; empty if the configuration contains no
+   * such service.
+   */
+  private Optional<Endpoint> withProfile(Endpoint endpoint) {
     return endpoint.serves().stream()
         .flatMap(name -> routes.service(name).stream())
         .findFirst()
@@ -306,14 +321,14 @@
   private void carryOut(List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof Action.Announce announce) {
-        news.accept(announce);
+        updates.accept(announce);
       } else if (action instanceof Action.TellCrashes tell) {
-        fleet.crashes(tell.news());
+        publisher.publishCrashes(tell.news());
         tell.news().refused().forEach(this::logRefused);
       }
     }
     coordinator.suspects().takeFindings().forEach(this::logFinding);
-    exchanges.carryOut(actions, this::refused, true);
+    exchanges.carryOut(actions, this::countRefusal, true);
   }
 
   private void logRefused(RefusedRequest refused) {
@@ -322,14 +337,14 @@
   }
 
   private void logFinding(CrashFinding finding) {
-    if (findingLines.take(clock.nowMs())) {
+    if (findingBudget.take(clock.nowMs())) {
       log.event(LogEvent.REQUEST_NOT_TURNED_AWAY, finding.request(), finding.text());
     }
   }
 
-  private void refused(String requestId, Refusal refusal) {
-    if (refusal.kind() == RefusalKind.DRAINING && !givingUp) {
-      turnedAway = turnedAway + 1;
+  private void countRefusal(String requestId, Refusal refusal) {
+    if (refusal.kind() == RefusalKind.DRAINING && !aborting) {
+      rejectedRequests = rejectedRequests + 1;
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayEvent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayEvent.java
@@ -15,83 +15,83 @@
 import org.fawndrum.state.RouteTable;
 import org.fawndrum.state.TableRevision;
 
-/** An event for the thread that decides. */
+/** An event for {@link RelayDuty}. */
 sealed interface RelayEvent {
   /** An event of one request. */
-  sealed interface OfRequest extends RelayEvent {}
+  sealed interface RequestEvent extends RelayEvent {}
 
-  /** An event of another daemon, or for one. */
-  sealed interface OfDaemon extends RelayEvent {}
+  /** An event from another daemon, or for one. */
+  sealed interface PeerEvent extends RelayEvent {}
 
   /** An event of the operators' configuration or of the endpoints. */
-  sealed interface OfEndpoints extends RelayEvent {}
+  sealed interface EndpointEvent extends RelayEvent {}
 
-  /** An event of this host's own life. */
-  sealed interface OfHost extends RelayEvent {}
+  /** An event of this host's lifecycle. */
+  sealed interface LifecycleEvent extends RelayEvent {}
 
-  /** A request came in. */
-  record Arrived(RequestFacts facts) implements OfRequest {}
+  /** A request arrived. */
+  record RequestArrived(RequestFacts facts) implements RequestEvent {}
 
-  /** Something happened to an attempt. */
-  record Attempted(AttemptId attempt, AttemptEvent event) implements OfRequest {}
+  /** The state of an attempt changed. */
+  record AttemptChanged(AttemptId attempt, AttemptEvent event) implements RequestEvent {}
 
-  /** The endpoint of an attempt ended under it; the attempt fails next. */
-  record EndpointEnded(AttemptId attempt) implements OfRequest {}
+  /** The endpoint of an attempt crashed during it; the failure of the attempt follows. */
+  record EndpointCrashed(AttemptId attempt) implements RequestEvent {}
 
-  /** One of an attempt's helpers keeps it from being taken. */
-  record HelperRefused(AttemptId attempt, HostIdentity helper) implements OfRequest {}
+  /** A helper engine prevented an attempt. */
+  record HelperRefused(AttemptId attempt, HostIdentity helper) implements RequestEvent {}
 
   /** A caller closed its connection. */
-  record CallerGone(String requestId) implements OfRequest {}
+  record CallerGone(String requestId) implements RequestEvent {}
 
   /** A newer configuration is in force. */
-  record RoutesChanged(RouteTable routes, TableRevision table) implements OfEndpoints {}
+  record RoutesChanged(RouteTable routes, TableRevision table) implements EndpointEvent {}
 
-  /** Other daemons tell about their work at endpoints. */
-  record Told(List<FleetReport> reports) implements OfDaemon {}
+  /** Other daemons reported their work on endpoints. */
+  record ReportsReceived(List<FleetReport> reports) implements PeerEvent {}
 
-  /** Another daemon is gone. */
-  record DaemonGone(HostIdentity daemon) implements OfDaemon {}
+  /** Another daemon counts as crashed. */
+  record DaemonGone(HostIdentity daemon) implements PeerEvent {}
 
-  /** Another daemon tells about endpoints that ended under requests. */
-  record CrashesTold(CrashesFrom told) implements OfDaemon {}
+  /** Another daemon reported endpoints that crashed during requests. */
+  record CrashesReceived(PeerCrashReport report) implements PeerEvent {}
 
-  /** Another daemon may know less about such endpoints than this one. */
-  record CrashesWanted(HostAddress by) implements OfDaemon {}
+  /** Another daemon may lack crashes that are known here. */
+  record CrashesRequested(HostAddress daemon) implements PeerEvent {}
 
-  /** All the work of this host is wanted for other daemons. */
-  record WorkWanted(Consumer<List<EngineNews>> reply) implements OfDaemon {}
+  /** All the work of this host is to be reported to other daemons. */
+  record WorkRequested(Consumer<List<EngineNews>> reply) implements PeerEvent {}
 
   /** The list of endpoints changed. */
-  record Listed(HostListing listing) implements OfEndpoints {}
+  record ListingChanged(HostListing listing) implements EndpointEvent {}
 
-  /** An endpoint says that it has started again. */
-  record Restarted(HostIdentity start) implements OfEndpoints {}
+  /** An endpoint reported that it restarted. */
+  record EndpointRestarted(HostIdentity incarnation) implements EndpointEvent {}
 
   /**
-   * An endpoint says that it leaves.
+   * Endpoints reported that they are shutting down.
    *
-   * @param endpoints the starts that do
-   * @param by who told: the endpoint itself, or another daemon
+   * @param endpoints the incarnations that are shutting down
+   * @param by the source of the report: the endpoint itself, or another daemon
    */
-  record Leaving(List<HostIdentity> endpoints, String by) implements OfEndpoints {}
+  record EndpointsShuttingDown(List<HostIdentity> endpoints, String by) implements EndpointEvent {}
 
-  /** A start of an endpoint was asked whether it leaves; if so, that event came before. */
-  record StartAsked(HostIdentity start) implements OfEndpoints {}
+  /** An incarnation of an endpoint was probed; if it is shutting down, that event came before. */
+  record IncarnationProbed(HostIdentity incarnation) implements EndpointEvent {}
 
-  /** Some endpoint asked this host for rest. */
-  record RestAsked() implements OfEndpoints {}
+  /** An endpoint requested a backoff of this host. */
+  record BackoffRequested() implements EndpointEvent {}
 
-  /** An operator lets a request go that was turned away. */
-  record LetGo(String fingerprint) implements OfHost {}
+  /** An operator released a rejected request from quarantine. */
+  record RequestReleased(String fingerprint) implements LifecycleEvent {}
 
-  /** This host was told to stop. */
-  record StopOrdered(StopWindow window) implements OfHost {}
+  /** This host received the stop signal. */
+  record StopSignaled(StopWindow window) implements LifecycleEvent {}
 
   /**
-   * This host ends now; what is open gets its final answer.
+   * The drain of this host ends now; all open requests receive their final answers.
    *
-   * @param decided runs once all of these were ordered; must not block
+   * @param onAborted runs after all of these answers were ordered; must not block
    */
-  record Ending(Runnable decided) implements OfHost {}
+  record DrainEnding(Runnable onAborted) implements LifecycleEvent {}
 }
