--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayExchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayExchange.java
@@ -14,41 +14,41 @@
 import org.fawndrum.transport.Exchange;
 
 /**
- * One relayed request on its way. A plain answer is held until it is whole; a stream is passed on
- * event by event, and goes on after a failure at the event where it stopped. Confined to one event
- * loop.
+ * One relayed request in progress. A plain answer is buffered until it is complete. A stream is
+ * forwarded event by event, and after a failure another attempt resumes it after the last forwarded
+ * event. Confined to one event loop.
  */
 final class RelayExchange implements Exchange, AttemptOwner {
   private final RelayCall call;
   private final HttpServerResponse response;
-  private final BooleanSupplier callerLeft;
+  private final BooleanSupplier callerDisconnected;
   private final Context context;
-  private final RelayTools tools;
-  private final RelayIntake.Attempts attempts;
-  private final StreamPace pace = new StreamPace();
-  private RelayAttempt current;
-  private RelayAttempt answering;
-  private WholeAnswer failure;
+  private final RelayContext relay;
+  private final RelayIntake.AttemptEventListener attemptListener;
+  private final StreamPace streamPace = new StreamPace();
+  private RelayAttempt currentAttempt;
+  private RelayAttempt answeringAttempt;
+  private WholeAnswer failedAnswer;
   private long lastEventId;
   private boolean handedOver;
-  private boolean over;
+  private boolean finished;
 
-  /** An endpoint's answer with its whole body. */
+  /** An endpoint's answer with its complete body. */
   record WholeAnswer(int status, MultiMap headers, Buffer body) {}
 
   RelayExchange(
       RelayCall call,
       HttpServerResponse response,
-      BooleanSupplier callerLeft,
+      BooleanSupplier callerDisconnected,
       Context context,
-      RelayTools tools,
-      RelayIntake.Attempts attempts) {
+      RelayContext relay,
+      RelayIntake.AttemptEventListener attemptListener) {
     this.call = call;
     this.response = response;
-    this.callerLeft = callerLeft;
+    this.callerDisconnected = callerDisconnected;
     this.context = context;
-    this.tools = tools;
-    this.attempts = attempts;
+    this.relay = relay;
+    this.attemptListener = attemptListener;
     this.lastEventId = call.request().lastEventId();
   }
 
@@ -59,26 +59,26 @@
 
   @Override
   public void send(Action.Send send) {
-    if (over || callerLeft.getAsBoolean()) {
-      attempts.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
+    if (finished || callerDisconnected.getAsBoolean()) {
+      attemptListener.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
     PromptMemory memory =
         new PromptMemory(
-            tools.clock(),
+            relay.clock(),
             (ms, step) -> context.owner().setTimer(ms, id -> step.run()),
-            tools.orders(),
+            relay.engineControl(),
             send.attempt(),
             send.helpers(),
-            tools.log());
-    current = new RelayAttempt(send, call, lastEventId, tools, memory, this);
-    current.start();
+            relay.log());
+    currentAttempt = new RelayAttempt(send, call, lastEventId, relay, memory, this);
+    currentAttempt.start();
   }
 
   @Override
   public void cancel(Action.Cancel cancel) {
-    if (current != null && current.isOf(cancel.attempt())) {
-      current.cancel();
+    if (currentAttempt != null && currentAttempt.isOf(cancel.attempt())) {
+      currentAttempt.cancel();
     }
   }
 
@@ -93,111 +93,113 @@
   }
 
   @Override
-  public void whole(RelayAttempt attempt, WholeAnswer answer) {
-    if (!isAwaited(attempt)) {
+  public void answered(RelayAttempt attempt, WholeAnswer answer) {
+    if (!isCurrent(attempt)) {
       return;
     }
-    if (answer.status() >= RelayAttempt.LOWEST_FAILURE && call.route().repeatable()) {
-      failure = answer;
-      attempts.happened(attempt.id(), AttemptEvent.FAILED_BY_ENDPOINT);
+    if (answer.status() >= RelayAttempt.MIN_FAILURE_STATUS && call.route().repeatable()) {
+      failedAnswer = answer;
+      attemptListener.happened(attempt.id(), AttemptEvent.FAILED_BY_ENDPOINT);
       return;
     }
-    over = true;
-    deliver(answer);
-    attempts.happened(attempt.id(), AttemptEvent.ANSWERED);
+    finished = true;
+    sendAnswer(answer);
+    attemptListener.happened(attempt.id(), AttemptEvent.ANSWERED);
   }
 
-  /** Tells whether what an attempt brings still goes to the caller. */
-  private boolean isAwaited(RelayAttempt attempt) {
-    return !over && attempt == current;
+  /** Returns whether the caller still receives the data of an attempt. */
+  private boolean isCurrent(RelayAttempt attempt) {
+    return !finished && attempt == currentAttempt;
   }
 
-  /** Prepares the head of a stream's answer, unless an earlier attempt did. */
-  private void beginAnswer(RelayAttempt attempt) {
+  /** Sets the status and headers of a stream's answer, unless an earlier attempt did. */
+  private void setHead(RelayAttempt attempt) {
     if (!response.headWritten()) {
-      response.headers().addAll(tools.codec().forCaller(attempt.answerHeaders()));
+      response.headers().addAll(relay.codec().forCaller(attempt.answerHeaders()));
       response.setStatusCode(attempt.answerStatus()).setChunked(true);
     }
   }
 
-  private void deliver(WholeAnswer answer) {
+  private void sendAnswer(WholeAnswer answer) {
     if (response.closed() || response.ended()) {
       return;
     }
-    response.headers().addAll(tools.codec().forCaller(answer.headers()));
+    response.headers().addAll(relay.codec().forCaller(answer.headers()));
     response.setStatusCode(answer.status()).end(answer.body());
   }
 
   @Override
-  public boolean event(RelayAttempt attempt, EventSplitter.StreamEvent event) {
-    boolean known = event.id() <= lastEventId;
-    if (!isAwaited(attempt) || known) {
+  public boolean eventReceived(RelayAttempt attempt, EventSplitter.StreamEvent event) {
+    boolean alreadyForwarded = event.id() <= lastEventId;
+    if (!isCurrent(attempt) || alreadyForwarded) {
       return true;
     }
     if (event.id() != lastEventId + 1) {
       return false;
     }
-    beginAnswer(attempt);
+    setHead(attempt);
     lastEventId = event.id();
     response.write(event.bytes());
-    pace.event(tools.clock().nowMs());
-    if (attempt != answering) {
-      answering = attempt;
-      attempts.happened(attempt.id(), AttemptEvent.ANSWERING);
+    streamPace.recordEvent(relay.clock().nowMs());
+    if (attempt != answeringAttempt) {
+      answeringAttempt = attempt;
+      attemptListener.happened(attempt.id(), AttemptEvent.ANSWERING);
     }
     return true;
   }
 
   @Override
-  public void streamEnded(RelayAttempt attempt) {
-    if (!isAwaited(attempt)) {
+  public void streamCompleted(RelayAttempt attempt) {
+    if (!isCurrent(attempt)) {
       return;
     }
-    over = true;
-    beginAnswer(attempt);
+    finished = true;
+    setHead(attempt);
     response.end();
-    tools.decisions().streamEnded(call.request().requestId(), pace, attempt.endpointName());
-    attempts.happened(attempt.id(), AttemptEvent.ANSWERED);
+    relay
+        .decisionLog()
+        .streamCompleted(call.request().requestId(), streamPace, attempt.endpointName());
+    attemptListener.happened(attempt.id(), AttemptEvent.ANSWERED);
   }
 
   @Override
-  public void endpointEnded(RelayAttempt attempt) {
-    attempts.endpointEnded(attempt.id());
+  public void endpointCrashed(RelayAttempt attempt) {
+    attemptListener.endpointCrashed(attempt.id());
   }
 
   @Override
   public void helperRefused(RelayAttempt attempt, HostIdentity helper) {
-    attempts.helperRefused(attempt.id(), helper);
+    attemptListener.helperRefused(attempt.id(), helper);
   }
 
   @Override
   public void stalled(RelayAttempt attempt) {
-    attempts.happened(attempt.id(), AttemptEvent.STALLED);
+    attemptListener.happened(attempt.id(), AttemptEvent.STALLED);
   }
 
   @Override
   public void failed(RelayAttempt attempt, AttemptEvent event) {
-    attempts.happened(attempt.id(), event);
+    attemptListener.happened(attempt.id(), event);
   }
 
   @Override
   public void refuse(Refusal refusal) {
-    if (over) {
+    if (finished) {
       return;
     }
-    over = true;
+    finished = true;
     if (response.ended() || response.closed()) {
       return;
     }
     if (response.headWritten()) {
-      // A stream that stops without its end mark never looks whole.
+      // A stream without its end marker never looks complete to the caller.
       response.reset();
       return;
     }
-    if (failure != null && refusal.kind() == RefusalKind.ENDPOINT_FAILED) {
-      deliver(failure);
+    if (failedAnswer != null && refusal.kind() == RefusalKind.ENDPOINT_FAILED) {
+      sendAnswer(failedAnswer);
       return;
     }
-    RelayRefusals.answer(response, tools.codec(), call.request().requestId(), refusal);
+    RelayRefusals.answer(response, relay.codec(), call.request().requestId(), refusal);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayIntake.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayIntake.java
@@ -23,53 +23,55 @@
 import org.fawndrum.transport.AttemptListener;
 
 /**
- * Finds the route and the workspace of a request and hands it to the decisions. Safe for all
- * threads.
+ * Determines the route and the workspace of a request and passes it to the decision duty.
+ * Thread-safe.
  */
 final class RelayIntake implements RelayServer.Intake {
-  /** After how long a caller is asked back when only other hosts can help, in milliseconds. */
+  /** Delay after which a caller is to retry if only other hosts can serve it, in milliseconds. */
   static final long OTHER_HOST_RETRY_MS = 250;
 
   private final RouteStore routes;
   private final RelayDuty decisions;
-  private final RelayTools tools;
+  private final RelayContext relay;
   private final Supplier<RelayBounds> bounds;
-  private final Attempts attempts;
+  private final AttemptEventListener attemptListener;
 
-  /** The way back from exchanges to the decisions. */
-  interface Attempts extends AttemptListener {
-    /** The endpoint of an attempt ended under it; the attempt fails next. */
-    void endpointEnded(AttemptId attempt);
+  /** Receives events of exchanges for the decision duty. */
+  interface AttemptEventListener extends AttemptListener {
+    /**
+     * Called when the endpoint of an attempt crashed during it; the failure of the attempt follows.
+     */
+    void endpointCrashed(AttemptId attempt);
 
-    /** One of an attempt's helpers keeps it from being taken. */
+    /** Called when a helper engine prevented an attempt. */
     void helperRefused(AttemptId attempt, HostIdentity helper);
 
-    /** The caller of a request closed its connection. */
+    /** Called when the caller of a request closed its connection. */
     void callerGone(String requestId);
   }
 
   RelayIntake(
       RouteStore routes,
       RelayDuty decisions,
-      RelayTools tools,
+      RelayContext relay,
       Supplier<RelayBounds> bounds,
-      Attempts attempts) {
+      AttemptEventListener attemptListener) {
     this.routes = routes;
     this.decisions = decisions;
-    this.tools = tools;
+    this.relay = relay;
     this.bounds = bounds;
-    this.attempts = attempts;
+    this.attemptListener = attemptListener;
   }
 
   @Override
-  public void take(RelayServer.Incoming incoming) {
+  public void accept(RelayServer.IncomingRequest incoming) {
     RouteTable table = routes.table();
     RelayRequest request = incoming.request();
     HttpServerRequest http = incoming.http();
     Route route =
         table
             .route(http.getHeader("host"), http.path())
-            .orElseThrow(() -> refused(request, RefusalKind.NO_ROUTE));
+            .orElseThrow(() -> refusal(request, RefusalKind.NO_ROUTE));
     Workspace workspace = workspace(table, route, request);
     RequestContent content =
         new CallContent(http.method().name(), http.uri(), workspace.name(), incoming.body());
@@ -87,16 +89,21 @@
     HttpServerResponse response = http.response();
     RelayExchange exchange =
         new RelayExchange(
-            call, response, incoming::callerLeft, incoming.context(), tools, attempts);
+            call,
+            response,
+            incoming::callerDisconnected,
+            incoming.context(),
+            relay,
+            attemptListener);
     response.closeHandler(
         v -> {
-          // The handler also runs after a whole answer, when nobody has gone.
+          // The handler also runs after a complete answer, when the caller has not disconnected.
           if (!response.ended()) {
-            attempts.callerGone(request.requestId());
+            attemptListener.callerGone(request.requestId());
           }
         });
-    if (!decisions.arrived(new RelayEvent.Arrived(facts), exchange)) {
-      throw later(request, RefusalKind.HOST_BUSY);
+    if (!decisions.offerRequest(new RelayEvent.RequestArrived(facts), exchange)) {
+      throw retryLater(request, RefusalKind.HOST_BUSY);
     }
   }
 
@@ -106,11 +113,11 @@
     }
     Workspace workspace = request.key().map(table.workspaces()::get).orElse(null);
     if (workspace == null) {
-      throw refused(request, RefusalKind.UNKNOWN_KEY);
+      throw refusal(request, RefusalKind.UNKNOWN_KEY);
     }
-    if (!ConfigurationTrust.forKeys(bounds.get(), routes.ageMs(tools.clock().nowMs()))) {
-      // The key may have been revoked in a configuration that this host could not read.
-      throw later(request, RefusalKind.NO_TABLE);
+    if (!ConfigurationFreshness.acceptsKeys(bounds.get(), routes.ageMs(relay.clock().nowMs()))) {
+      // The key may have been revoked by a configuration that this host could not read.
+      throw retryLater(request, RefusalKind.NO_TABLE);
     }
     return workspace;
   }
@@ -119,7 +126,7 @@
       RouteTable table,
       Route route,
       Workspace workspace,
-      RelayServer.Incoming incoming,
+      RelayServer.IncomingRequest incoming,
       RequestContent content) {
     RelayRequest request = incoming.request();
     String service = route.service(ThreadLocalRandom.current().nextDouble());
@@ -138,11 +145,11 @@
         content);
   }
 
-  private static RefusedException refused(RelayRequest request, RefusalKind kind) {
+  private static RefusedException refusal(RelayRequest request, RefusalKind kind) {
     return new RefusedException(request.requestId(), Refusal.notRun(kind));
   }
 
-  private static RefusedException later(RelayRequest request, RefusalKind kind) {
+  private static RefusedException retryLater(RelayRequest request, RefusalKind kind) {
     return new RefusedException(request.requestId(), Refusal.of(kind, Ran.NO, OTHER_HOST_RETRY_MS));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayRefusals.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayRefusals.java
@@ -12,17 +12,19 @@
 import org.fawndrum.protocol.Json;
 
 /**
- * Writes answers that no endpoint gave. The status says whether the request ran: 503 and 429 say
- * that it surely did not, 502 and 504 say nothing.
+ * Writes refusals by this host. The status shows whether the request ran: with 503 and 429 it
+ * certainly did not; with 502 and 504 this is unknown.
  */
 final class RelayRefusals {
   private static final int UNAVAILABLE = 503;
   private static final int BAD_GATEWAY = 502;
   private static final int GATEWAY_TIMEOUT = 504;
-  private static final long CLOSE_MS = 250;
+  private static final long CLOSE_TIMEOUT_MS = 250;
 
-  /** Faults of the request itself; their own status tells the caller what to mend. */
-  private static final Set<RefusalKind> CALLERS_FAULT =
+  /**
+   * Faults of the request itself; these have their own status, so that the caller can correct it.
+   */
+  private static final Set<RefusalKind> CALLER_ERRORS =
       Set.of(
           RefusalKind.INVALID_REQUEST,
           RefusalKind.UNKNOWN_KEY,
@@ -45,22 +47,22 @@
         .end(Json.write(ErrorBodies.of(requestId, refusal)));
   }
 
-  /** Answers a request that was not read to its end, and closes the connection. */
+  /** Refuses a request that was not read completely, and closes the connection. */
   static void answerAndClose(
       HttpServerRequest request, RelayCodec codec, String requestId, Refusal refusal) {
     request.response().putHeader("connection", "close");
     answer(request.response(), codec, requestId, refusal);
-    request.connection().shutdown(CLOSE_MS, TimeUnit.MILLISECONDS);
+    request.connection().shutdown(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   private static int status(Refusal refusal) {
-    if (CALLERS_FAULT.contains(refusal.kind())) {
+    if (CALLER_ERRORS.contains(refusal.kind())) {
       return refusal.kind().status();
     }
     if (refusal.ran() == Ran.NO) {
       return UNAVAILABLE;
     }
-    boolean late = refusal.kind() == RefusalKind.DEADLINE_PASSED;
-    return late ? GATEWAY_TIMEOUT : BAD_GATEWAY;
+    boolean timedOut = refusal.kind() == RefusalKind.DEADLINE_PASSED;
+    return timedOut ? GATEWAY_TIMEOUT : BAD_GATEWAY;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayRequest.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayRequest.java
@@ -5,15 +5,17 @@
 import java.util.Optional;
 
 /**
- * What the headers of a caller's request say.
+ * The content of the headers of a caller's request.
  *
- * @param requestId the caller's own id for this sending
+ * @param requestId the caller's id for this request
  * @param key the caller's key, if it sent one
- * @param wantedMs how long the caller waits, in milliseconds; 0 when it does not say
- * @param promptTokens the length of the prompt in tokens; 0 for a plain call
- * @param answerTokens the most tokens of the answer; 0 for a plain call
- * @param prefixes the ids of the prompt's parts, first part first
- * @param lastEventId the id of the last event that the caller has; 0 when it begins
+ * @param wantedMs how long the caller waits for the answer, in milliseconds; 0 if it did not
+ *     specify it
+ * @param promptTokens the length of the prompt in tokens; 0 for a plain request
+ * @param answerTokens the maximum length of the answer in tokens; 0 for a plain request
+ * @param prefixes the ids of the prompt segments, in order
+ * @param lastEventId the id of the last event that the caller has received; 0 to start from the
+ *     beginning
  */
 public record RelayRequest(
     String requestId,
@@ -23,7 +25,7 @@
     long answerTokens,
     List<Long> prefixes,
     long lastEventId) {
-  /** Copies the list, so that the request cannot change. */
+  /** Copies the list, so that the record is immutable. */
   public RelayRequest {
     prefixes = List.copyOf(prefixes);
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayRuntime.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayRuntime.java
@@ -32,12 +32,13 @@
 import org.fawndrum.transport.peer.NettyPeerNetwork;
 
 /**
- * A whole host that relays requests: servers, followers of the platform's logs and the thread that
- * decides, wired together. A daemon is this class with settings and signals around it.
+ * A complete host that relays requests: creates and connects the servers, the followers of the
+ * platform's logs, the fleet duty and the decision duty. A daemon adds settings and signal
+ * handling.
  */
 public final class RelayRuntime {
-  /** The most lines a second about what endpoints say of themselves. */
-  private static final int NOTICE_LINES = 5;
+  /** Maximum log lines a second about endpoints' notices. */
+  private static final int MAX_NOTICE_LINES_PER_SECOND = 5;
 
   private final Vertx vertx;
   private volatile RelaySettings settings;
@@ -46,33 +47,33 @@
   private final HostLog log;
   private final RouteStore routes;
   private final RelayDuty decisions;
-  private final SureEvents events;
+  private final ReliableEventSink events;
   private final RelayServer callers;
   private final RelayDrain drain;
   private final ReadinessServer readiness;
   private final NettyPeerNetwork network;
   private final FleetDuty fleet;
-  private final StoreReading reading;
-  private final PeerKnowledge knowledge;
+  private final StoreReader store;
+  private final PeerStoreSync storeSync;
   private final MetricsServer metrics;
   private final DecisionLog decisionLog;
-  private final StallWatch stalls;
-  private final CurrentStarts orders;
-  private final StartQuestions startQuestions;
-  private final EndpointRests rests = new EndpointRests();
-  private final LineBudget noticeLines = new LineBudget(NOTICE_LINES);
+  private final StallWatch stallWatch;
+  private final IncarnationGuard engineControl;
+  private final IncarnationProbes incarnationProbes;
+  private final EndpointRests backoffs = new EndpointRests();
+  private final LineBudget noticeBudget = new LineBudget(MAX_NOTICE_LINES_PER_SECOND);
   private volatile long listingVersion = -1;
   private volatile long listedAtMs;
 
   /**
-   * Makes a host that has not started.
+   * Creates a host that has not started.
    *
    * @param vertx runs its servers; closed by the caller
-   * @param settings its checked settings
-   * @param adapter whatever depends on the platform
+   * @param settings its validated settings
+   * @param adapter the components that depend on the platform
    * @param clock its clock
-   * @param incarnation grows with each start of the host
-   * @param log where events go
+   * @param incarnation increases with each start of the host
+   * @param log receives log events
    */
   public RelayRuntime(
       Vertx vertx,
@@ -87,40 +88,46 @@
     this.log = log;
     this.self = new HostIdentity(settings.host(), incarnation);
     this.routes = new RouteStore(this::routesChanged);
-    RetryShare retries = new RetryShare(settings.bounds(), this::others, this::seeded);
+    RetryShare retries = new RetryShare(settings.bounds(), this::otherDaemons, this::hasSeeds);
     RequestCoordinator coordinator =
         new RequestCoordinator(
             self,
             settings.zone(),
             Policies.engineModel(retries.budget(), this::manyDaemons, this::silentZones)
-                .hearing(this::hearsAll),
-            rests);
+                .hearing(this::allPeersActive),
+            backoffs);
     MetricRegistry registry = new MetricRegistry();
     this.decisionLog =
         new DecisionLog(new RequestMetrics(registry, clock), this::basis, clock, log);
     this.decisions =
         new RelayDuty(
-            coordinator, clock, decisionLog, this::announced, new Teller(), this::askStart, log);
-    this.events = new SureEvents(vertx, decisions, log);
+            coordinator,
+            clock,
+            decisionLog,
+            this::announce,
+            new FleetPublisher(),
+            this::probe,
+            log);
+    this.events = new ReliableEventSink(vertx, decisions, log);
     this.metrics =
         new MetricsServer(vertx, settings.metrics(), registry, decisions::refusedRequests, log);
-    FleetReceiver receiver = new FleetReceiver(this::heard, new LateKnowledge(), clock);
+    FleetReceiver receiver = new FleetReceiver(this::offerToFleet, new LazyStoreSync(), clock);
     ListenSettings peers = new ListenSettings(settings.peers(), Optional.empty());
     this.network = new NettyPeerNetwork(peers, receiver, log);
     this.fleet = newFleet();
-    this.stalls = new StallWatch(vertx, clock);
-    this.orders = new CurrentStarts(adapter.orders(), this::restarted);
-    this.orders.hearNotices(this::noticed);
-    this.startQuestions = new StartQuestions(vertx, orders, this::startAsked);
+    this.stallWatch = new StallWatch(vertx, clock);
+    this.engineControl = new IncarnationGuard(adapter.orders(), this::restarted);
+    this.engineControl.hearNotices(this::noticeReceived);
+    this.incarnationProbes = new IncarnationProbes(vertx, engineControl, this::incarnationProbed);
     this.callers = callerServer(adapter);
     this.drain = newDrain();
     this.readiness = new ReadinessServer(vertx, settings.readiness(), this::ready);
-    this.reading =
-        new StoreReading(
-            vertx, adapter, routes, this::bounds, this::speaks, this::listed, clock, log);
-    this.knowledge =
-        new PeerKnowledge(
-            self, network, fleet, routes, reading.configuration(), reading.endpoints(), clock, log);
+    this.store =
+        new StoreReader(
+            vertx, adapter, routes, this::bounds, this::isLeader, this::applyListing, clock, log);
+    this.storeSync =
+        new PeerStoreSync(
+            self, network, fleet, routes, store.configuration(), store.endpoints(), clock, log);
     gauges(registry);
   }
 
@@ -132,52 +139,52 @@
     return settings.bounds();
   }
 
-  private boolean speaks() {
-    return fleet.speaker() == null;
+  private boolean isLeader() {
+    return fleet.zoneLeader() == null;
   }
 
-  private StoreView storeView() {
-    return reading.view();
+  private StorePositions storePositions() {
+    return store.view();
   }
 
-  private int others() {
-    return fleet.others();
+  private int otherDaemons() {
+    return fleet.knownPeerCount();
   }
 
-  private boolean seeded() {
+  private boolean hasSeeds() {
     return !settings.otherSeeds().isEmpty();
   }
 
-  /** What this host knows of the store; the network needs it before the rest is made. */
-  private final class LateKnowledge implements FleetReceiver.Knowledge {
+  /** Delegates to the store synchronization, which is created after the network. */
+  private final class LazyStoreSync implements FleetReceiver.StoreSync {
     @Override
     public PeerMessage.Builder reply(KnowledgeRequest request) {
-      return knowledge.reply(request);
+      return storeSync.reply(request);
     }
 
     @Override
-    public void told(FleetMember peer, StoreView view) {
-      knowledge.told(peer, view);
+    public void peerUpdated(FleetMember peer, StorePositions positions) {
+      storeSync.peerUpdated(peer, positions);
     }
   }
 
-  /** Hands what the decisions learn of endpoints to the thread that knows the other daemons. */
-  private final class Teller implements FleetTeller {
+  /** Passes the decision duty's findings about endpoints to the fleet duty. */
+  private final class FleetPublisher implements EndpointEventPublisher {
     @Override
-    public void crashes(CrashNews news) {
-      if (news.hops() <= CrashNews.MOST_HOPS) {
-        fleet.offer(new FleetEvent.Crashes(Optional.empty(), news));
+    public void publishCrashes(CrashNews crashes) {
+      if (crashes.hops() <= CrashNews.MOST_HOPS) {
+        fleet.offer(new FleetEvent.EndpointCrashes(Optional.empty(), crashes));
       }
     }
 
     @Override
-    public void allCrashes(HostAddress to, CrashNews all) {
-      fleet.offer(new FleetEvent.Crashes(Optional.of(to), all));
+    public void sendAllCrashes(HostAddress to, CrashNews all) {
+      fleet.offer(new FleetEvent.EndpointCrashes(Optional.of(to), all));
     }
 
     @Override
-    public void leaving(List<HostIdentity> endpoints) {
-      fleet.offer(new FleetEvent.Leaving(endpoints));
+    public void publishShutdowns(List<HostIdentity> endpoints) {
+      fleet.offer(new FleetEvent.EndpointsShuttingDown(endpoints));
     }
   }
 
@@ -185,34 +192,34 @@
     return new FleetDuty(
         self,
         this::settingsInForce,
-        this::storeView,
+        this::storePositions,
         decisions::crashSummary,
         network,
         clock,
-        new FleetReports(events),
+        new FleetEventForwarder(events),
         log);
   }
 
   private RelayDrain newDrain() {
     return new RelayDrain(
-        vertx, callers, decisions, events, this::bounds, stalls.awake(), clock, log);
+        vertx, callers, decisions, events, this::bounds, stallWatch.awakeTimes(), clock, log);
   }
 
   private RelayServer callerServer(RelayAdapter adapter) {
-    RelayTools tools =
-        new RelayTools(
+    RelayContext relay =
+        new RelayContext(
             new EndpointClient(vertx),
             adapter.codec(),
-            orders,
-            rests,
-            this::noticed,
-            stalls,
+            engineControl,
+            backoffs,
+            this::noticeReceived,
+            stallWatch,
             clock,
             decisionLog,
             log);
     RelayIntake intake =
         new RelayIntake(
-            routes, decisions, tools, () -> settings.bounds(), new AttemptReports(events));
+            routes, decisions, relay, () -> settings.bounds(), new AttemptEventForwarder(events));
     return new RelayServer(
         vertx,
         settings.callers(),
@@ -221,16 +228,19 @@
         clock,
         intake,
         decisionLog,
-        this::known);
+        this::hasState);
   }
 
-  /** Takes over what can change while the host runs: bounds and seeds, but no addresses. */
+  /**
+   * Applies the settings that may change at run time: limits, seeds and requests released from
+   * quarantine, but no addresses.
+   */
   public void reload(RelaySettings newer) {
-    List<String> before = settings.letGo();
+    List<String> previous = settings.letGo();
     settings = newer;
     newer.letGo().stream()
-        .filter(one -> !before.contains(one))
-        .forEach(one -> events.accept(new RelayEvent.LetGo(one)));
+        .filter(fingerprint -> !previous.contains(fingerprint))
+        .forEach(fingerprint -> events.accept(new RelayEvent.RequestReleased(fingerprint)));
   }
 
   private DecisionLog.Basis basis() {
@@ -246,127 +256,127 @@
     registry.registerGauge("configurationRevision", () -> routes.table().revision());
     registry.registerGauge("configurationAgeMs", () -> routes.ageMs(clock.nowMs()));
     registry.registerGauge("endpointsAgeMs", () -> clock.nowMs() - listedAtMs);
-    registry.registerGauge("unusableEntries", () -> reading.endpoints().unusable());
-    registry.registerGauge("leavingEndpoints", decisions::leavingEndpoints);
-    registry.registerGauge("restingEndpoints", () -> rests.count(clock.nowMs()));
-    registry.registerGauge("openRequests", decisions::open);
+    registry.registerGauge("unusableEntries", () -> store.endpoints().unusableCount());
+    registry.registerGauge("leavingEndpoints", decisions::drainingEndpoints);
+    registry.registerGauge("restingEndpoints", () -> backoffs.count(clock.nowMs()));
+    registry.registerGauge("openRequests", decisions::openRequests);
     registry.registerGauge("refusedRequests", () -> decisions.refusedRequests().size());
-    registry.registerGauge("decisionsRingFill", decisions::ringFill);
+    registry.registerGauge("decisionsRingFill", decisions::queuedEvents);
     registry.registerGauge("callerConnections", () -> callers.connections());
     registry.registerGauge("peerBytesSent", network::bytesSent);
-    registry.registerGauge("attemptsHoldingMemory", stalls::holdingMemory);
-    registry.registerGauge("longestSilenceMs", stalls::longestSilenceMs);
+    registry.registerGauge("attemptsHoldingMemory", stallWatch::attemptsWithMemory);
+    registry.registerGauge("longestSilenceMs", stallWatch::longestSilenceMs);
     registry.registerGauge("peers", this::peers);
   }
 
-  private void heard(FleetEvent event) {
+  private void offerToFleet(FleetEvent event) {
     fleet.offer(event);
   }
 
-  private void announced(Action.Announce news) {
-    fleet.announce(news);
+  private void announce(Action.Announce update) {
+    fleet.announce(update);
   }
 
   private boolean manyDaemons() {
     return fleet.manyDaemons();
   }
 
-  private boolean hearsAll() {
-    return fleet.hearsAll();
+  private boolean allPeersActive() {
+    return fleet.allPeersActive();
   }
 
   private Set<String> silentZones() {
     return fleet.silentZones();
   }
 
-  /** Starts everything; fails when an address cannot be had. */
+  /** Starts all components; fails if an address is not available. */
   public Future<Void> start() {
     decisions.start();
     fleet.start();
-    return had(
+    return listenOn(
             "peers",
             settings.peers(),
             Future.fromCompletionStage(network.listen(), vertx.getOrCreateContext()))
-        .compose(listening -> had("readiness", settings.readiness(), readiness.listen()))
-        .compose(server -> had("metrics", settings.metrics(), metrics.listen()))
-        .compose(server -> had("callers", settings.callers(), callers.listen()))
+        .compose(listening -> listenOn("readiness", settings.readiness(), readiness.listen()))
+        .compose(server -> listenOn("metrics", settings.metrics(), metrics.listen()))
+        .compose(server -> listenOn("callers", settings.callers(), callers.listen()))
         .map(
             server -> {
-              reading.start();
-              knowledge.start(vertx, settings.bounds().drainMs());
+              store.start();
+              storeSync.start(vertx, settings.bounds().drainMs());
               log.event(LogEvent.HOST_STARTED, self, settings.zone());
               return null;
             });
   }
 
-  private static <T> Future<T> had(String purpose, HostAddress address, Future<T> listening) {
+  private static <T> Future<T> listenOn(String purpose, HostAddress address, Future<T> listening) {
     return listening.recover(
         cause -> Future.failedFuture(new AddressUnavailableException(purpose, address, cause)));
   }
 
-  /** Tells whether this host takes callers: it knows what it needs and is not stopping. */
+  /** Returns whether this host accepts callers: it has the required state and is not draining. */
   public boolean ready() {
-    return !drain.begun() && known() && trusted();
+    return !drain.started() && hasState() && isConfigurationUsable();
   }
 
-  /** Returns how many other daemons are heard now. */
+  /** Returns the number of live peers. */
   public int peers() {
-    return fleet.alive().size();
+    return fleet.livePeers().size();
   }
 
-  private boolean trusted() {
-    boolean cutOff = fleet.others() > 0 && fleet.alive().isEmpty();
-    return ConfigurationTrust.forCallers(bounds(), routes.ageMs(clock.nowMs()), cutOff);
+  private boolean isConfigurationUsable() {
+    boolean cutOff = fleet.knownPeerCount() > 0 && fleet.livePeers().isEmpty();
+    return ConfigurationFreshness.acceptsCallers(bounds(), routes.ageMs(clock.nowMs()), cutOff);
   }
 
-  /** Tells whether this host has read a configuration and the endpoints since its start. */
-  private boolean known() {
+  /** Returns whether this host has read a configuration and the endpoints since its start. */
+  private boolean hasState() {
     return listingVersion >= 0 && routes.table().revision() >= 0;
   }
 
-  private void routesChanged(RouteTable table, TableRevision cells) {
-    events.accept(new RelayEvent.RoutesChanged(table, cells));
+  private void routesChanged(RouteTable table, TableRevision rows) {
+    events.accept(new RelayEvent.RoutesChanged(table, rows));
   }
 
-  private void listed(HostListing listing) {
+  private void applyListing(HostListing listing) {
     listingVersion = listing.version();
     listedAtMs = clock.nowMs();
-    orders.listed(listing);
-    events.accept(new RelayEvent.Listed(listing));
+    engineControl.updateListing(listing);
+    events.accept(new RelayEvent.ListingChanged(listing));
   }
 
-  private void noticed(HostIdentity endpoint, EndpointNotice notice) {
-    if (noticeLines.take(clock.nowMs())) {
+  private void noticeReceived(HostIdentity endpoint, EndpointNotice notice) {
+    if (noticeBudget.take(clock.nowMs())) {
       log.event(LogEvent.ENDPOINT_NOTICE, endpoint, notice.leaving(), notice.restMs());
     }
     if (notice.restMs() > 0) {
-      rests.asked(endpoint, notice.restMs(), clock.nowMs());
-      events.accept(new RelayEvent.RestAsked());
+      backoffs.asked(endpoint, notice.restMs(), clock.nowMs());
+      events.accept(new RelayEvent.BackoffRequested());
     }
     if (notice.leaving()) {
-      events.accept(new RelayEvent.Leaving(List.of(endpoint), "itself"));
+      events.accept(new RelayEvent.EndpointsShuttingDown(List.of(endpoint), "itself"));
     }
   }
 
-  private void askStart(Endpoint endpoint) {
-    startQuestions.ask(endpoint);
+  private void probe(Endpoint endpoint) {
+    incarnationProbes.probe(endpoint);
   }
 
-  private void startAsked(Endpoint endpoint) {
-    events.accept(new RelayEvent.StartAsked(endpoint.identity()));
+  private void incarnationProbed(Endpoint endpoint) {
+    events.accept(new RelayEvent.IncarnationProbed(endpoint.identity()));
   }
 
-  private void restarted(HostIdentity start) {
-    log.event(LogEvent.ENDPOINT_RESTARTED, start);
-    events.accept(new RelayEvent.Restarted(start));
+  private void restarted(HostIdentity incarnation) {
+    log.event(LogEvent.ENDPOINT_RESTARTED, incarnation);
+    events.accept(new RelayEvent.EndpointRestarted(incarnation));
   }
 
   /**
-   * Begins a planned stop: not ready from now on, takes only what surely ends in time, and gives a
-   * future that completes when the process may end: when nothing is left, or shortly before it
-   * would be killed.
+   * Starts a planned shutdown. From now on the host is not ready and accepts only requests that
+   * certainly complete in time. The returned future completes when the process may exit: when no
+   * requests remain, or shortly before it would be killed.
    */
   public CompletableFuture<Void> stop() {
-    return drain.begin();
+    return drain.start();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayServer.java
@@ -29,29 +29,29 @@
 import org.fawndrum.transport.UnreadableHead;
 
 /**
- * The callers' address. It reads whole requests within the limits of the configuration in force and
- * hands them on. Confined to one event loop.
+ * The HTTP server for callers. Reads complete requests within the limits of the configuration in
+ * force and passes them on. Confined to one event loop.
  */
 final class RelayServer {
-  /** The most bytes of headers that are read at all; the configuration's limit is below it. */
-  private static final int MOST_HEADER_BYTES = 65_536;
+  /** Maximum bytes of headers that are read at all; the configured limit is below it. */
+  private static final int MAX_HEADER_BYTES = 65_536;
 
-  /** The rest of a connection after its answer while the host stops, in milliseconds. */
+  /** Idle timeout of a connection after its answer while the host is draining, in milliseconds. */
   private static final long STOPPING_IDLE_MS = 100;
 
   /**
-   * How long a connection on which nothing came yet is spared while the host stops, in
-   * milliseconds: the balancer sends new connections to stopping hosts when few others are in, and
-   * closing one that is about to carry a request costs its caller a try.
+   * How long a connection without any request stays open while the host is draining, in
+   * milliseconds. The load balancer opens new connections to a draining host when few hosts are
+   * available, and closing one that is about to carry a request costs its caller an attempt.
    */
-  private static final long FRESH_MS = 300;
+  private static final long NEW_CONNECTION_GRACE_MS = 300;
 
   /** How long a request waits for a host that has just started, in milliseconds. */
-  private static final long LONGEST_START_MS = 700;
+  private static final long MAX_START_WAIT_MS = 700;
 
-  private static final long START_LOOK_MS = 20;
-  private static final int HEADER_SEPARATORS = 4;
-  private static final int MOST_LINE_BYTES = 16_384;
+  private static final long START_POLL_MS = 20;
+  private static final int HEADER_SEPARATOR_BYTES = 4;
+  private static final int MAX_LINE_BYTES = 16_384;
 
   private final Vertx vertx;
   private final HostAddress address;
@@ -60,38 +60,38 @@
   private final HostClock clock;
   private final Intake intake;
   private final DecisionLog decisions;
-  private final BooleanSupplier known;
-  private final IdleConnections idle;
-  private final Map<HttpConnection, Integer> busy = new HashMap<>();
+  private final BooleanSupplier hasState;
+  private final IdleConnections idleConnections;
+  private final Map<HttpConnection, Integer> requestsInProgress = new HashMap<>();
 
-  /** When connections that carried no request yet were opened, by the host's clock. */
-  private final Map<HttpConnection, Long> unused = new HashMap<>();
+  /** The times at which connections without any request so far were opened, by the host's clock. */
+  private final Map<HttpConnection, Long> unusedSinceMs = new HashMap<>();
 
-  private boolean stopping;
-  private boolean ended;
+  private boolean draining;
+  private boolean readingStopped;
 
-  /** Takes requests that are whole. */
+  /** Receives complete requests. */
   interface Intake {
-    /** Takes a request; throws {@link RefusedException} when it cannot be served. */
-    void take(Incoming incoming);
+    /** Accepts a request; throws {@link RefusedException} if it cannot be served. */
+    void accept(IncomingRequest incoming);
   }
 
   /**
-   * A whole request.
+   * A complete request.
    *
-   * @param http the request as the server has it
-   * @param request what its headers say
+   * @param http the request as the server received it
+   * @param request the content of its headers
    * @param body its body
-   * @param arrivedMs when its head arrived, by the host's clock
+   * @param arrivedMs when its headers arrived, by the host's clock
    * @param context its event loop
    */
-  record Incoming(
+  record IncomingRequest(
       HttpServerRequest http, RelayRequest request, Buffer body, long arrivedMs, Context context) {
     /**
-     * Tells whether the caller has closed its connection. The response learns of that only after
-     * what was queued on the loop before, such as the order to send this request.
+     * Returns whether the caller has closed its connection. The response learns of that only after
+     * the steps that were queued on the event loop before, such as sending this request.
      */
-    boolean callerLeft() {
+    boolean callerDisconnected() {
       boolean closed = channel(http.connection()).map(channel -> !channel.isOpen()).orElse(false);
       return closed || http.response().closed();
     }
@@ -105,7 +105,7 @@
       HostClock clock,
       Intake intake,
       DecisionLog decisions,
-      BooleanSupplier known) {
+      BooleanSupplier hasState) {
     this.vertx = vertx;
     this.address = address;
     this.routes = routes;
@@ -113,10 +113,10 @@
     this.clock = clock;
     this.intake = intake;
     this.decisions = decisions;
-    this.known = known;
-    this.idle =
+    this.hasState = hasState;
+    this.idleConnections =
         new IdleConnections(
-            vertx, () -> limits().idleMs(), () -> stopping ? STOPPING_IDLE_MS : limits().idleMs());
+            vertx, () -> limits().idleMs(), () -> draining ? STOPPING_IDLE_MS : limits().idleMs());
   }
 
   private CallerLimits limits() {
@@ -128,83 +128,84 @@
         new HttpServerOptions()
             .setHost(address.ip())
             .setPort(address.port())
-            .setMaxHeaderSize(MOST_HEADER_BYTES)
-            .setMaxInitialLineLength(MOST_LINE_BYTES)
+            .setMaxHeaderSize(MAX_HEADER_BYTES)
+            .setMaxInitialLineLength(MAX_LINE_BYTES)
             .setHttp2ClearTextEnabled(false)
             .setUseAlpn(false)
             .setTcpNoDelay(true);
     return vertx
         .createHttpServer(options)
         .requestHandler(this::handle)
-        .invalidRequestHandler(this::invalid)
-        .connectionHandler(this::opened)
+        .invalidRequestHandler(this::refuseInvalid)
+        .connectionHandler(this::connectionOpened)
         .listen();
   }
 
-  /** From now on connections end with the answer that they wait for. */
-  void stop() {
-    stopping = true;
+  /** Starts draining: from now on each connection is closed after its pending answer. */
+  void startDraining() {
+    draining = true;
   }
 
   /**
-   * Reads nothing more from callers, because what is taken now could not be answered any more. What
-   * was read before gets its answer.
+   * Stops reading from callers, because new requests could not be answered any more. Requests that
+   * were read before still receive their answers.
    */
   void stopReading() {
-    ended = true;
-    Map.copyOf(busy).keySet().forEach(RelayServer::readNoMore);
+    readingStopped = true;
+    Map.copyOf(requestsInProgress).keySet().forEach(RelayServer::disableReads);
   }
 
-  private static void readNoMore(HttpConnection connection) {
+  private static void disableReads(HttpConnection connection) {
     channel(connection).ifPresent(channel -> channel.config().setAutoRead(false));
   }
 
-  /** Closes the connections on which no request is in progress, but for those just opened. */
+  /** Closes the connections without a request in progress, except those that were just opened. */
   void closeIdle() {
-    for (Map.Entry<HttpConnection, Integer> connection : Map.copyOf(busy).entrySet()) {
-      if (connection.getValue() == 0 && !fresh(connection.getKey())) {
+    for (Map.Entry<HttpConnection, Integer> connection :
+        Map.copyOf(requestsInProgress).entrySet()) {
+      if (connection.getValue() == 0 && !isNew(connection.getKey())) {
         connection.getKey().close();
       }
     }
   }
 
-  private boolean fresh(HttpConnection connection) {
-    Long openedMs = unused.get(connection);
-    return openedMs != null && clock.nowMs() - openedMs < FRESH_MS;
+  private boolean isNew(HttpConnection connection) {
+    Long openedMs = unusedSinceMs.get(connection);
+    return openedMs != null && clock.nowMs() - openedMs < NEW_CONNECTION_GRACE_MS;
   }
 
-  /** Returns how many connections are open. */
+  /** Returns the number of open connections. */
   int connections() {
-    return busy.size();
+    return requestsInProgress.size();
   }
 
-  /** Returns on how many connections a request is in progress. */
-  int busy() {
-    return (int) busy.values().stream().filter(requests -> requests > 0).count();
+  /** Returns the number of connections with a request in progress. */
+  int busyConnections() {
+    return (int) requestsInProgress.values().stream().filter(requests -> requests > 0).count();
   }
 
-  private void opened(HttpConnection connection) {
-    busy.put(connection, 0);
-    unused.put(connection, clock.nowMs());
-    idle.opened(connection);
-    readToEnd(connection);
-    if (ended) {
-      readNoMore(connection);
+  private void connectionOpened(HttpConnection connection) {
+    requestsInProgress.put(connection, 0);
+    unusedSinceMs.put(connection, clock.nowMs());
+    idleConnections.opened(connection);
+    readUntilEmpty(connection);
+    if (readingStopped) {
+      disableReads(connection);
     }
     connection.closeHandler(
         v -> {
-          busy.remove(connection);
-          unused.remove(connection);
-          idle.closed(connection);
+          requestsInProgress.remove(connection);
+          unusedSinceMs.remove(connection);
+          idleConnections.closed(connection);
         });
   }
 
   /**
-   * Lets a connection be read until nothing is left, so that a caller's leaving is read together
-   * with what it sent. A host that starts, or was busy, finds requests whose callers have left
-   * already; none of these may reach an endpoint.
+   * Makes the connection read until no data is left, so that a disconnect of the caller is read
+   * together with the requests before it. A host that was starting or busy finds requests whose
+   * callers have already disconnected; none of these may reach an endpoint.
    */
-  private static void readToEnd(HttpConnection connection) {
+  private static void readUntilEmpty(HttpConnection connection) {
     channel(connection)
         .map(channel -> channel.config().<RecvByteBufAllocator>getRecvByteBufAllocator())
         .filter(DefaultMaxMessagesRecvByteBufAllocator.class::isInstance)
@@ -218,26 +219,27 @@
         : Optional.empty();
   }
 
-  private void invalid(HttpServerRequest request) {
+  private void refuseInvalid(HttpServerRequest request) {
     RefusalKind kind = UnreadableHead.kind(request);
-    turnAwayAndClose(request, "", Refusal.notRun(kind));
+    refuseAndClose(request, "", Refusal.notRun(kind));
   }
 
   private void handle(HttpServerRequest http) {
     HttpConnection connection = http.connection();
-    idle.began(connection);
-    unused.remove(connection);
-    busy.merge(connection, 1, Integer::sum);
+    idleConnections.began(connection);
+    unusedSinceMs.remove(connection);
+    requestsInProgress.merge(connection, 1, Integer::sum);
     http.response()
         .endHandler(
             v -> {
-              busy.computeIfPresent(connection, (key, count) -> Math.max(0, count - 1));
-              idle.ended(connection);
+              requestsInProgress.computeIfPresent(
+                  connection, (key, count) -> Math.max(0, count - 1));
+              idleConnections.ended(connection);
             });
     http.response()
         .headersEndHandler(
             v -> {
-              if (stopping) {
+              if (draining) {
                 http.response().putHeader("connection", "close");
               }
             });
@@ -248,26 +250,28 @@
       checkHeaders(http);
       request = codec.read(http.headers());
     } catch (RefusedException e) {
-      turnAwayAndClose(http, e.requestId(), e.refusal());
+      refuseAndClose(http, e.requestId(), e.refusal());
       return;
     }
-    read(http, request, arrivedMs, context);
+    readBody(http, request, arrivedMs, context);
   }
 
   private void checkHeaders(HttpServerRequest http) {
     long bytes = 0;
     for (Map.Entry<String, String> header : http.headers()) {
-      bytes += header.getKey().length() + header.getValue().length() + HEADER_SEPARATORS;
+      bytes += header.getKey().length() + header.getValue().length() + HEADER_SEPARATOR_BYTES;
     }
     if (bytes > limits().headerBytes()) {
       throw new RefusedException("", Refusal.notRun(RefusalKind.HEADERS_TOO_LARGE));
     }
   }
 
-  private void read(HttpServerRequest http, RelayRequest request, long arrivedMs, Context context) {
+  private void readBody(
+      HttpServerRequest http, RelayRequest request, long arrivedMs, Context context) {
     new BodyReader(vertx, limits().bodyBytes(), limits().headerMs())
         .read(http, request.requestId())
-        .thenAccept(body -> takeWhenKnown(new Incoming(http, request, body, arrivedMs, context)))
+        .thenAccept(
+            body -> acceptWhenReady(new IncomingRequest(http, request, body, arrivedMs, context)))
         .exceptionally(
             failure -> {
               refuse(http, request.requestId(), RefusedException.refusalOf(failure));
@@ -276,42 +280,42 @@
   }
 
   /**
-   * Hands a request on as soon as this host knows what it needs. A host that has just started
-   * learns it within some hundred milliseconds, in which turning callers away would only bring them
-   * back. A host that stops before it knows anything keeps nobody waiting for that.
+   * Passes a request on as soon as this host has the state that it needs. A host that has just
+   * started obtains it within some hundred milliseconds; refusing callers in that time would only
+   * make them retry. A host that drains before it has the state does not let requests wait for it.
    */
-  private void takeWhenKnown(Incoming incoming) {
+  private void acceptWhenReady(IncomingRequest incoming) {
     String requestId = incoming.request().requestId();
-    if (incoming.callerLeft()) {
+    if (incoming.callerDisconnected()) {
       return;
     }
-    if (known.getAsBoolean()) {
+    if (hasState.getAsBoolean()) {
       try {
-        intake.take(incoming);
+        intake.accept(incoming);
       } catch (RefusedException e) {
         refuse(incoming.http(), requestId, e.refusal());
       }
-    } else if (stopping || clock.nowMs() - incoming.arrivedMs() > LONGEST_START_MS) {
-      Refusal none = Refusal.of(RefusalKind.NO_TABLE, Ran.NO, RelayIntake.OTHER_HOST_RETRY_MS);
-      turnAwayAndClose(incoming.http(), requestId, none);
+    } else if (draining || clock.nowMs() - incoming.arrivedMs() > MAX_START_WAIT_MS) {
+      Refusal notReady = Refusal.of(RefusalKind.NO_TABLE, Ran.NO, RelayIntake.OTHER_HOST_RETRY_MS);
+      refuseAndClose(incoming.http(), requestId, notReady);
     } else {
-      vertx.setTimer(START_LOOK_MS, id -> takeWhenKnown(incoming));
+      vertx.setTimer(START_POLL_MS, id -> acceptWhenReady(incoming));
     }
   }
 
-  private void turnAwayAndClose(HttpServerRequest http, String requestId, Refusal refusal) {
-    decisions.turnedAway(requestId, refusal);
+  private void refuseAndClose(HttpServerRequest http, String requestId, Refusal refusal) {
+    decisions.requestRejected(requestId, refusal);
     RelayRefusals.answerAndClose(http, codec, requestId, refusal);
   }
 
   private void refuse(HttpServerRequest http, String requestId, Refusal refusal) {
-    boolean unread =
+    boolean incompletelyRead =
         refusal.kind() == RefusalKind.BODY_TOO_LARGE
             || refusal.kind() == RefusalKind.REQUEST_INCOMPLETE;
-    if (unread) {
-      turnAwayAndClose(http, requestId, refusal);
+    if (incompletelyRead) {
+      refuseAndClose(http, requestId, refusal);
     } else {
-      decisions.turnedAway(requestId, refusal);
+      decisions.requestRejected(requestId, refusal);
       RelayRefusals.answer(http.response(), codec, requestId, refusal);
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelaySettings.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelaySettings.java
@@ -5,19 +5,20 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * The checked settings of a daemon that passes requests on.
+ * The validated settings of a daemon that relays requests.
  *
  * @param host its name
  * @param zone its availability zone
- * @param callers where callers come in
- * @param readiness where the balancer asks whether it takes callers
- * @param peers where other daemons come in
- * @param metrics where figures are told
- * @param platform where the platform's store is
- * @param linkMegabits what the host's network link carries, in megabits a second
- * @param seeds hosts that may know others
- * @param bounds times that operators promise or allow
- * @param letGo fingerprints of requests that are not turned away any more; see the list of them
+ * @param callers the address for callers
+ * @param readiness the address of the load balancer's health check
+ * @param peers the address for other daemons
+ * @param metrics the address that serves the metrics
+ * @param platform the address of the platform's store
+ * @param linkMegabits the capacity of the host's network link, in megabits a second
+ * @param seeds addresses of hosts that may know other daemons
+ * @param bounds the limits that operators guarantee or permit
+ * @param letGo fingerprints of requests that are released from quarantine; the metrics server lists
+ *     the rejected requests
  * @param debugLog whether each decision is logged
  */
 public record RelaySettings(
@@ -33,13 +34,13 @@
     RelayBounds bounds,
     List<String> letGo,
     boolean debugLog) {
-  /** Copies the lists, so that the settings cannot change. */
+  /** Copies the lists, so that the settings are immutable. */
   public RelaySettings {
     seeds = List.copyOf(seeds);
     letGo = List.copyOf(letGo);
   }
 
-  /** Returns the seeds that are not this host. */
+  /** Returns the seeds except this host. */
   public List<HostAddress> otherSeeds() {
     return seeds.stream().filter(seed -> !seed.equals(peers)).toList();
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/SureEvents.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ReliableEventSink.java
@@ -7,18 +7,18 @@
 import org.fawndrum.internal.log.LogEvent;
 
 /**
- * Hands events to the thread that decides. Events about work already taken must not be lost: when
- * the ring is full, they come again. Safe for all threads.
+ * Delivers events to the decision duty. Events about accepted work must not be lost: if the ring is
+ * full, they are offered again later. Thread-safe.
  */
-final class SureEvents implements Consumer<RelayEvent> {
-  /** The pause before an event that found no room in the ring is offered again, in milliseconds. */
+final class ReliableEventSink implements Consumer<RelayEvent> {
+  /** Delay before an event that did not fit into the ring is offered again, in milliseconds. */
   private static final long RETRY_MS = 1;
 
   private final Vertx vertx;
   private final RelayDuty decisions;
   private final HostLog log;
 
-  SureEvents(Vertx vertx, RelayDuty decisions, HostLog log) {
+  ReliableEventSink(Vertx vertx, RelayDuty decisions, HostLog log) {
     this.vertx = vertx;
     this.decisions = decisions;
     this.log = log;
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ReportBuffer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ReportBuffer.java
@@ -6,50 +6,53 @@
 import org.fawndrum.coordination.membership.FleetReport;
 
 /**
- * The reports that a daemon gathers to pass them on, and when it does so. Confined to one thread;
- * times are those of the host's clock, in milliseconds.
+ * Buffers the reports that a daemon forwards and determines when they are due. Confined to one
+ * thread; times are those of the host's clock, in milliseconds.
  */
 final class ReportBuffer {
-  /** A daemon that passes reports on sends at least something in this time, in milliseconds. */
-  private static final long KEEP_ALIVE_MS = 300;
+  /** Maximum interval at which a daemon that forwards reports sends a message, in milliseconds. */
+  private static final long MAX_INTERVAL_MS = 300;
 
-  /** How long changes are gathered at least, in milliseconds. */
-  private static final double GATHER_MS = 10;
+  /** Minimum time for which changes are gathered, in milliseconds. */
+  private static final double MIN_GATHER_MS = 10;
 
-  /** How long they are gathered for each receiver, if that is more; bounds messages a second. */
-  private static final double GATHER_MS_PER_LINK = 0.8;
+  /**
+   * Time for which changes are gathered per receiver, in milliseconds, if that results in more;
+   * limits the number of messages a second.
+   */
+  private static final double GATHER_MS_PER_RECEIVER = 0.8;
 
   private final List<FleetReport> reports = new ArrayList<>();
-  private boolean changes;
+  private boolean hasChanges;
   private long changesSinceMs;
-  private long lastPassedMs;
+  private long lastDrainedMs;
 
-  /** Keeps reports; whole ones only confirm what is known and can wait. */
-  void gather(List<FleetReport> more, long nowMs) {
+  /** Adds reports. Complete reports only confirm known state and can wait. */
+  void add(List<FleetReport> more, long nowMs) {
     boolean changed = more.stream().anyMatch(report -> !report.whole());
-    if (changed && !changes) {
-      changes = true;
+    if (changed && !hasChanges) {
+      hasChanges = true;
       changesSinceMs = nowMs;
     }
     reports.addAll(more);
   }
 
-  /** Returns when what was gathered is to be passed on to so many receivers. */
-  long dueMs(int links) {
-    long latestMs = lastPassedMs + KEEP_ALIVE_MS;
-    if (!changes) {
+  /** Returns when the buffered reports are due for this number of receivers. */
+  long dueMs(int receivers) {
+    long latestMs = lastDrainedMs + MAX_INTERVAL_MS;
+    if (!hasChanges) {
       return latestMs;
     }
-    long waitMs = Math.round(Math.max(GATHER_MS, GATHER_MS_PER_LINK * links));
+    long waitMs = Math.round(Math.max(MIN_GATHER_MS, GATHER_MS_PER_RECEIVER * receivers));
     return Math.min(latestMs, changesSinceMs + waitMs);
   }
 
-  /** Empties the buffer and returns what was gathered, in order. */
+  /** Removes and returns the buffered reports, in order. */
   List<FleetReport> drain(long nowMs) {
     List<FleetReport> all = List.copyOf(reports);
     reports.clear();
-    changes = false;
-    lastPassedMs = nowMs;
+    hasChanges = false;
+    lastDrainedMs = nowMs;
     return all;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RetryShare.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RetryShare.java
@@ -6,51 +6,55 @@
 import org.fawndrum.coordination.RetryBudget;
 import org.fawndrum.coordination.WindowRetryBudget;
 
-/** One host's part of the retries that all daemons together are allowed. Immutable. */
+/** One host's share of the retries that all daemons together may use. Immutable. */
 final class RetryShare {
   /**
-   * The part of the retries allowed to all daemons that they use; the rest is for counting late.
+   * The fraction of the permitted retries that the daemons use; the remainder covers the delay
+   * until retries are counted.
    */
-  private static final double RETRY_PART = 0.8;
+  private static final double USED_FRACTION = 0.8;
 
-  /** The fewest daemons among which the retries allowed in any case are shared out. */
-  private static final int FEWEST_DAEMONS = 12;
+  /** Minimum number of daemons among which the fixed retry allowance is divided. */
+  private static final int MIN_DAEMONS = 12;
 
-  /** The most of them that a host uses before it heard any other: many may have just started. */
-  private static final double RESERVE_UNHEARD = 1;
+  /**
+   * Maximum number of these retries that a host uses before a message of any other daemon arrived:
+   * many daemons may have just started.
+   */
+  private static final double MAX_RESERVE_WITHOUT_PEERS = 1;
 
-  /** How many daemons there may be for each that is known: some are cut off or just starting. */
+  /** Assumed number of daemons per known daemon: some are disconnected or just starting. */
   private static final double DAEMONS_PER_KNOWN = 1.3;
 
   private final RelayBounds bounds;
-  private final IntSupplier others;
-  private final BooleanSupplier seeded;
+  private final IntSupplier otherDaemons;
+  private final BooleanSupplier hasSeeds;
 
   /**
-   * Makes the share of a host.
+   * Creates the share of a host.
    *
-   * @param bounds what the operators allow
-   * @param others how many other daemons are known now
-   * @param seeded whether there are seeds besides this host
+   * @param bounds the limits that operators permit
+   * @param otherDaemons the number of other daemons that are known now
+   * @param hasSeeds whether there are seeds besides this host
    */
-  RetryShare(RelayBounds bounds, IntSupplier others, BooleanSupplier seeded) {
+  RetryShare(RelayBounds bounds, IntSupplier otherDaemons, BooleanSupplier hasSeeds) {
     this.bounds = bounds;
-    this.others = others;
-    this.seeded = seeded;
+    this.otherDaemons = otherDaemons;
+    this.hasSeeds = hasSeeds;
   }
 
   /** Returns the budget of this host. */
   RetryBudget budget() {
     return new WindowRetryBudget(
-        bounds.retryRatio() * RETRY_PART, this::reserve, bounds.retryWindowMs());
+        bounds.retryRatio() * USED_FRACTION, this::fixedAllowance, bounds.retryWindowMs());
   }
 
-  /** Returns this host's part of the retries that all daemons are allowed in any case. */
-  private double reserve() {
-    int heard = others.getAsInt();
-    double known = Math.ceil((heard + 1) * DAEMONS_PER_KNOWN);
-    double part = bounds.retrySlack() * RETRY_PART / Math.max(FEWEST_DAEMONS, known);
-    boolean unheard = heard == 0 && seeded.getAsBoolean();
-    return unheard ? Math.min(RESERVE_UNHEARD, part) : part;
+  /** Returns this host's share of the fixed retry allowance of all daemons. */
+  private double fixedAllowance() {
+    int knownPeers = otherDaemons.getAsInt();
+    double assumedDaemons = Math.ceil((knownPeers + 1) * DAEMONS_PER_KNOWN);
+    double share = bounds.retrySlack() * USED_FRACTION / Math.max(MIN_DAEMONS, assumedDaemons);
+    boolean withoutPeers = knownPeers == 0 && hasSeeds.getAsBoolean();
+    return withoutPeers ? Math.min(MAX_RESERVE_WITHOUT_PEERS, share) : share;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RouteRows.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RouteRows.java
@@ -15,12 +15,12 @@
 import org.fawndrum.state.TableRevision;
 import org.fawndrum.state.Workspace;
 
-/** Turns routes into the rows of a table: one for each workspace and route. */
+/** Converts routes into the rows of a table: one for each workspace and route. */
 final class RouteRows {
   private static final String OPERATOR = "operators";
-  private static final int LOWEST_PRIORITY = 0;
-  private static final int HIGHEST_PRIORITY = 9;
-  private static final long LONGEST_DEADLINE_MS = 86_400_000;
+  private static final int MIN_PRIORITY = 0;
+  private static final int MAX_PRIORITY = 9;
+  private static final long MAX_DEADLINE_MS = 86_400_000;
 
   private RouteRows() {}
 
@@ -30,7 +30,7 @@
     Set<Workspace> workspaces = new HashSet<>(routes.workspaces().values());
     workspaces.add(Workspace.ANYBODY);
     for (Route route : routes.routes()) {
-      // Workspaces of the same urgency share a row, so that many of them cost little.
+      // Workspaces of the same rank share a row, so that many workspaces need little memory.
       Map<Integer, Row> byRank = new HashMap<>();
       for (Workspace workspace : workspaces) {
         int rank = workspace.rank().orElse(route.rank());
@@ -42,8 +42,8 @@
   }
 
   private static Row row(Route route, int rank, long revision) {
-    int priority = Math.max(LOWEST_PRIORITY, HIGHEST_PRIORITY - rank);
-    long deadlineMs = Math.max(1, Math.min(LONGEST_DEADLINE_MS, route.timeoutMs()));
+    int priority = Math.max(MIN_PRIORITY, MAX_PRIORITY - rank);
+    long deadlineMs = Math.max(1, Math.min(MAX_DEADLINE_MS, route.timeoutMs()));
     return Row.EMPTY
         .with(Column.DEADLINE_MS, cell(Long.toString(deadlineMs), revision))
         .with(Column.PRIORITY_SHORT, cell(Integer.toString(priority), revision))
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RouteStore.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RouteStore.java
@@ -7,13 +7,13 @@
 import org.fawndrum.transport.HostClock;
 
 /**
- * The configuration in force on this host, and how old the evidence is that no newer one exists.
- * Revisions only rise. Safe for all threads.
+ * Holds the configuration in force on this host, and the age of the evidence that no newer one
+ * exists. Revisions only increase. Thread-safe.
  */
 final class RouteStore {
   private final BiConsumer<RouteTable, TableRevision> onNewer;
   private volatile RouteTable table = RouteTable.NONE;
-  private volatile long knownAtMs = HostClock.NEVER_MS;
+  private volatile long confirmedAtMs = HostClock.NEVER_MS;
 
   RouteStore(BiConsumer<RouteTable, TableRevision> onNewer) {
     this.onNewer = onNewer;
@@ -23,7 +23,7 @@
     return table;
   }
 
-  /** Takes over a revision unless it is older than the one in force; returns whether it was. */
+  /** Applies a revision if it is newer than the one in force; returns whether it was. */
   synchronized boolean offer(RouteTable newer) {
     if (newer.revision() <= table.revision()) {
       return false;
@@ -35,16 +35,18 @@
   }
 
   /**
-   * Takes note that the revision in force was the newest one at a time.
+   * Records that the revision in force was the newest one at a given time.
    *
-   * @param atMs the time, by the host's clock, at which the question was sent that proved it
+   * @param atMs the time at which the query was sent that confirmed this, by the host's clock
    */
-  synchronized void confirmed(long atMs) {
-    knownAtMs = Math.max(knownAtMs, atMs);
+  synchronized void confirm(long atMs) {
+    confirmedAtMs = Math.max(confirmedAtMs, atMs);
   }
 
-  /** Returns how long ago the revision in force was surely the newest, in milliseconds. */
+  /**
+   * Returns the time since the revision in force was last confirmed as the newest, in milliseconds.
+   */
   long ageMs(long nowMs) {
-    return nowMs - knownAtMs;
+    return nowMs - confirmedAtMs;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/SettingsWatch.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/SettingsWatch.java
@@ -11,39 +11,39 @@
 import org.fawndrum.internal.log.LogEvent;
 
 /**
- * Reads the settings again when their file changes, with or without a signal. Settings that make no
- * sense are logged, and those in force stay. Confined to one event loop.
+ * Reloads the settings when their file changes, with or without a signal. Invalid settings are
+ * logged, and the current ones stay in force. Confined to one event loop.
  */
 public final class SettingsWatch {
-  private static final long LOOK_MS = 2_000;
+  private static final long POLL_MS = 2_000;
 
   private final Path file;
-  private final Consumer<RelaySettings> changed;
+  private final Consumer<RelaySettings> onChange;
   private final HostLog log;
   private RelaySettings inForce;
-  private long readModifiedMs;
+  private long lastModifiedMs;
 
   /**
-   * Makes a watch that has not started.
+   * Creates a watch that has not started.
    *
    * @param inForce the settings that the host started with
-   * @param changed takes settings that differ from those in force
+   * @param onChange receives settings that differ from those in force
    */
   public SettingsWatch(
-      Path file, RelaySettings inForce, Consumer<RelaySettings> changed, HostLog log) {
+      Path file, RelaySettings inForce, Consumer<RelaySettings> onChange, HostLog log) {
     this.file = file;
     this.inForce = inForce;
-    this.changed = changed;
+    this.onChange = onChange;
     this.log = log;
-    this.readModifiedMs = modifiedMs();
+    this.lastModifiedMs = modifiedMs();
   }
 
-  /** Looks at the file every two seconds from now on. */
+  /** Starts checking the file every two seconds. */
   public void start(Vertx vertx) {
     vertx.setPeriodic(
-        LOOK_MS,
+        POLL_MS,
         id -> {
-          if (modifiedMs() != readModifiedMs) {
+          if (modifiedMs() != lastModifiedMs) {
             read();
           }
         });
@@ -53,15 +53,15 @@
     try {
       return Files.getLastModifiedTime(file).toMillis();
     } catch (IOException e) {
-      // A file that is being replaced is looked at again soon.
+      // A file that is being replaced is checked again with the next poll.
       log.event(LogEvent.SETTINGS_UNREADABLE, String.valueOf(e));
-      return readModifiedMs;
+      return lastModifiedMs;
     }
   }
 
   /** Reads the file now. */
   public void read() {
-    readModifiedMs = modifiedMs();
+    lastModifiedMs = modifiedMs();
     try {
       RelaySettings newer = new ReadRelaySettings(file).call();
       if (newer.equals(inForce)) {
@@ -69,7 +69,7 @@
         return;
       }
       inForce = newer;
-      changed.accept(newer);
+      onChange.accept(newer);
       log.event(LogEvent.SETTINGS_CHANGED);
     } catch (BadSettingsException e) {
       log.event(LogEvent.SETTINGS_UNREADABLE, e.getMessage());
--- /dev/null
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ShutdownNotices.java
@@ -0,0 +1,37 @@
+// SPDX-License-Identifier: Apache-2.0
+package org.fawndrum.transport.relay;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.fawndrum.state.HostIdentity;
+
+/**
+ * The endpoint shutdowns to announce to other daemons. Each is included in all messages for a while
+ * after this daemon learned of it, so that a lost message has no effect. A daemon that receives
+ * none of them learns of the shutdown from the first answer of the endpoint. Confined to one
+ * thread; times are those of the host's clock, in milliseconds.
+ */
+final class ShutdownNotices {
+  /** How long a shutdown is announced, in milliseconds: five heartbeats. */
+  private static final long TOLD_MS = 5_000;
+
+  /**
+   * Maximum number of endpoints in a message, about 20 bytes each; the latest ones are included.
+   */
+  private static final int MOST_TOLD = 64;
+
+  private final Map<HostIdentity, Long> learnedMs = new LinkedHashMap<>();
+
+  /** Adds endpoints that are newly known to be shutting down. */
+  void add(List<HostIdentity> endpoints, long nowMs) {
+    endpoints.forEach(one -> learnedMs.put(one, nowMs));
+  }
+
+  /** Returns the endpoints to announce in a message sent now. */
+  List<HostIdentity> current(long nowMs) {
+    learnedMs.values().removeIf(atMs -> nowMs - atMs > TOLD_MS);
+    int beyond = Math.max(0, learnedMs.size() - MOST_TOLD);
+    return learnedMs.keySet().stream().skip(beyond).toList();
+  }
+}
--- a/org.fawndrum/src/org/fawndrum/transport/relay/StallWatch.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/StallWatch.java
@@ -10,38 +10,46 @@
 import org.fawndrum.transport.HostClock;
 
 /**
- * Finds attempts from which nothing has come for so long that their callers would soon give up, so
- * that another endpoint can go on; only what may run again makes way so. Where silence alone says
- * nothing, or memory is held, has the attempt look whether its engine is alive. Confined to one
- * event loop.
+ * Detects attempts without progress for so long that their callers would soon give up, so that
+ * another endpoint can take over; this applies only to requests that may be repeated. Where silence
+ * alone proves nothing, or memory is reserved, the engine is probed. Confined to one event loop.
  */
 final class StallWatch {
-  private static final long LOOK_MS = 200;
+  private static final long POLL_MS = 200;
 
-  /** The shortest wait for a first event or answer, in milliseconds; callers wait two seconds. */
-  private static final long SHORTEST_FIRST_MS = 1_000;
+  /** Minimum wait for a first event or answer, in milliseconds; callers wait two seconds. */
+  private static final long MIN_FIRST_EVENT_MS = 1_000;
 
-  /** Above this aim a first event may well take long, so that silence says nothing by itself. */
-  private static final long LONGEST_WATCHED_AIM_MS = 2_000;
+  /**
+   * First-token target, in milliseconds, above which a first event may take so long that silence
+   * alone proves nothing.
+   */
+  private static final long MAX_WATCHED_TARGET_MS = 2_000;
 
-  /** The wait for a first event or answer as a multiple of its aim; callers wait four aims. */
-  private static final long FIRST_PER_AIM = 3;
+  /**
+   * Wait for a first event or answer as a multiple of its target; callers wait four times the
+   * target.
+   */
+  private static final long FIRST_EVENT_TARGETS = 3;
 
-  /** The shortest wait for a next event, in milliseconds. */
-  private static final long SHORTEST_NEXT_MS = 1_200;
+  /** Minimum wait for a subsequent event, in milliseconds. */
+  private static final long MIN_NEXT_EVENT_MS = 1_200;
 
-  /** The wait for a next event as a multiple of the longest pause in time; callers wait eight. */
-  private static final long NEXT_PER_PAUSE = 5;
+  /**
+   * Wait for a subsequent event as a multiple of the target pause; callers wait eight times the
+   * pause.
+   */
+  private static final long NEXT_EVENT_PAUSES = 5;
 
   private final HostClock clock;
-  private final AwakeTimes awake = new AwakeTimes(LOOK_MS);
+  private final AwakeTimes awakeTimes = new AwakeTimes(POLL_MS);
   private final Set<RelayAttempt> attempts = new LinkedHashSet<>();
-  private volatile int holdingMemory;
+  private volatile int attemptsWithMemory;
   private volatile long longestSilenceMs;
 
   StallWatch(Vertx vertx, HostClock clock) {
     this.clock = clock;
-    vertx.setPeriodic(LOOK_MS, id -> look());
+    vertx.setPeriodic(POLL_MS, id -> poll());
   }
 
   void add(RelayAttempt attempt) {
@@ -52,60 +60,60 @@
     attempts.remove(attempt);
   }
 
-  /** Returns how many attempts hold memory on other engines; safe for all threads. */
-  int holdingMemory() {
-    return holdingMemory;
+  /** Returns the number of attempts with memory reserved on other engines; thread-safe. */
+  int attemptsWithMemory() {
+    return attemptsWithMemory;
   }
 
   /**
-   * Returns for how long the engine of some watched attempt has given no sign of life, in
-   * milliseconds; safe for all threads.
+   * Returns the longest time for which the engine of a watched attempt has given no sign of life,
+   * in milliseconds; thread-safe.
    */
   long longestSilenceMs() {
     return longestSilenceMs;
   }
 
-  /** Returns when this host looks, and so when it last was awake; safe for all threads. */
-  AwakeTimes awake() {
-    return awake;
+  /** Returns the times at which this host polled, and so was running; thread-safe. */
+  AwakeTimes awakeTimes() {
+    return awakeTimes;
   }
 
-  private void look() {
-    awake.looked(clock.nowMs());
-    holdingMemory = (int) attempts.stream().filter(RelayAttempt::holdsMemory).count();
+  private void poll() {
+    awakeTimes.looked(clock.nowMs());
+    attemptsWithMemory = (int) attempts.stream().filter(RelayAttempt::hasReservedMemory).count();
     longestSilenceMs =
         attempts.stream()
-            .filter(RelayAttempt::engineMatters)
+            .filter(RelayAttempt::dependsOnEngine)
             .mapToLong(RelayAttempt::silentMs)
             .max()
             .orElse(0);
     long nowMs = clock.nowMs();
-    // Looking may end attempts, which then leave the set.
+    // Polling may complete attempts, which are then removed from the set.
     for (RelayAttempt attempt : List.copyOf(attempts)) {
-      if (attempt.repeatable() && nowMs - attempt.progressMs() > limitMs(attempt)) {
+      if (attempt.repeatable() && nowMs - attempt.lastProgressMs() > limitMs(attempt)) {
         attempt.stalled();
       } else {
-        attempt.checkEngine();
+        attempt.probeEngineIfSilent();
       }
     }
   }
 
   private static long limitMs(RelayAttempt attempt) {
-    return limitMs(attempt.aims(), attempt.begun());
+    return limitMs(attempt.latencyTargets(), attempt.hasFirstEvent());
   }
 
-  /** Tells whether silence alone never ends an attempt before its first event. */
-  static boolean mayBeLong(RequestAims aims) {
-    return limitMs(aims, false) == Long.MAX_VALUE;
+  /** Returns whether silence alone never ends an attempt before its first event. */
+  static boolean isFirstEventUnlimited(RequestAims targets) {
+    return limitMs(targets, false) == Long.MAX_VALUE;
   }
 
   /** Returns how long an attempt may be silent, in milliseconds. */
-  static long limitMs(RequestAims aims, boolean begun) {
-    if (begun) {
-      return Math.max(SHORTEST_NEXT_MS, NEXT_PER_PAUSE * aims.pauseMs());
+  static long limitMs(RequestAims targets, boolean hasFirstEvent) {
+    if (hasFirstEvent) {
+      return Math.max(MIN_NEXT_EVENT_MS, NEXT_EVENT_PAUSES * targets.pauseMs());
     }
-    return aims.firstTokenMs() > LONGEST_WATCHED_AIM_MS
+    return targets.firstTokenMs() > MAX_WATCHED_TARGET_MS
         ? Long.MAX_VALUE
-        : Math.max(SHORTEST_FIRST_MS, FIRST_PER_AIM * aims.firstTokenMs());
+        : Math.max(MIN_FIRST_EVENT_MS, FIRST_EVENT_TARGETS * targets.firstTokenMs());
   }
 }
--- /dev/null
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/StoreReader.java
@@ -0,0 +1,133 @@
+// SPDX-License-Identifier: Apache-2.0
+package org.fawndrum.transport.relay;
+
+import io.vertx.core.Vertx;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import java.util.function.Supplier;
+import org.fawndrum.internal.log.HostLog;
+import org.fawndrum.protocol.KeyedLog;
+import org.fawndrum.state.HostListing;
+import org.fawndrum.transport.HostClock;
+
+/**
+ * Reads the platform's store for one host: the operators' configuration and the endpoints. Its
+ * methods are thread-safe.
+ */
+final class StoreReader {
+  /**
+   * How long a query for the configuration waits for a record, in milliseconds; below the limit for
+   * revoked keys.
+   */
+  private static final long CONFIGURATION_WAIT_MS = 1_500;
+
+  /** The interval of reading the endpoints, as a fraction of the drain limit. */
+  private static final double ENDPOINTS_INTERVAL_FRACTION = 0.35;
+
+  /**
+   * The age of the list of endpoints from which on a host reads it itself, as a fraction of the
+   * drain limit. It is above the zone leader's interval plus the interval of queries to the leader;
+   * the remainder of the limit is for polling and reading.
+   */
+  private static final double ENDPOINTS_MAX_AGE_FRACTION = 0.7;
+
+  /**
+   * The age of the configuration from which on a host reads it itself, as a fraction of the limit
+   * for revoked keys.
+   */
+  private static final double CONFIGURATION_MAX_AGE_FRACTION = 0.6;
+
+  private final Vertx vertx;
+  private final KeyedLog store;
+  private final RouteStore routes;
+  private final Supplier<RelayBounds> bounds;
+  private final BooleanSupplier leader;
+  private final HostClock clock;
+  private final HostLog log;
+  private final ConfigurationReader configuration;
+  private final EndpointReader endpoints;
+  private final TopicFollower configurationFollower;
+  private final TopicFollower endpointsFollower;
+
+  /**
+   * Creates a reader that has not started.
+   *
+   * @param adapter provides the store and decodes its records
+   * @param routes receives the configuration
+   * @param bounds the limits for revoked keys and for drains
+   * @param leader whether this host is the leader of its zone
+   * @param onListing receives each new list of endpoints
+   */
+  StoreReader(
+      Vertx vertx,
+      RelayAdapter adapter,
+      RouteStore routes,
+      Supplier<RelayBounds> bounds,
+      BooleanSupplier leader,
+      Consumer<HostListing> onListing,
+      HostClock clock,
+      HostLog log) {
+    this.vertx = vertx;
+    this.store = adapter.store();
+    this.routes = routes;
+    this.bounds = bounds;
+    this.leader = leader;
+    this.clock = clock;
+    this.log = log;
+    this.configuration = new ConfigurationReader(adapter.decoder(), routes, log);
+    this.endpoints = new EndpointReader(adapter.decoder(), onListing, clock, log);
+    this.configurationFollower = configurationFollower();
+    this.endpointsFollower = endpointsFollower();
+  }
+
+  private TopicFollower configurationFollower() {
+    return follower(
+        KeyedLog.Topic.OPERATORS,
+        new TopicFollower.Timing(CONFIGURATION_WAIT_MS, 0),
+        () -> routes.ageMs(clock.nowMs()),
+        () -> (long) (bounds.get().revokeMs() * CONFIGURATION_MAX_AGE_FRACTION),
+        configuration);
+  }
+
+  private TopicFollower endpointsFollower() {
+    long pauseMs = (long) (bounds.get().drainMs() * ENDPOINTS_INTERVAL_FRACTION);
+    return follower(
+        KeyedLog.Topic.ENDPOINTS,
+        new TopicFollower.Timing(0, pauseMs),
+        () -> endpoints.ageMs(clock.nowMs()),
+        () -> (long) (bounds.get().drainMs() * ENDPOINTS_MAX_AGE_FRACTION),
+        endpoints);
+  }
+
+  private TopicFollower follower(
+      KeyedLog.Topic topic,
+      TopicFollower.Timing timing,
+      LongSupplier ageMs,
+      LongSupplier maxAgeMs,
+      TopicFollower.Reader reader) {
+    LogReadSchedule schedule = new LogReadSchedule(leader, ageMs, maxAgeMs);
+    return new TopicFollower(vertx, store, topic, timing, schedule, reader, clock, log);
+  }
+
+  /** Starts reading; called on the event loop that is to read. */
+  void start() {
+    configurationFollower.start();
+    endpointsFollower.start();
+  }
+
+  /** Returns the reader of the configuration. */
+  ConfigurationReader configuration() {
+    return configuration;
+  }
+
+  /** Returns the reader of the endpoints. */
+  EndpointReader endpoints() {
+    return endpoints;
+  }
+
+  /** Returns the store positions that this host has read, to be sent to peers. */
+  StorePositions view() {
+    return new StorePositions(routes.table().revision(), endpoints.lastChange());
+  }
+}
--- a/org.fawndrum/src/org/fawndrum/transport/relay/StreamPace.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/StreamPace.java
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.transport.relay;
 
-/** How the events of one stream followed each other. Confined to one thread. */
+/** Records the intervals between the events of one stream. Confined to one thread. */
 final class StreamPace {
   private long events;
   private long lastMs;
   private long longestPauseMs;
   private long longestPauseAfter;
 
-  /** Takes note of an event that was passed on. */
-  void event(long nowMs) {
+  /** Records an event that was forwarded. */
+  void recordEvent(long nowMs) {
     if (events > 0 && nowMs - lastMs > longestPauseMs) {
       longestPauseMs = nowMs - lastMs;
       longestPauseAfter = events;
@@ -18,7 +18,7 @@
     lastMs = nowMs;
   }
 
-  /** Returns how many events there were. */
+  /** Returns the number of events. */
   long events() {
     return events;
   }
@@ -28,7 +28,7 @@
     return longestPauseMs;
   }
 
-  /** Returns after how many events the longest pause came. */
+  /** Returns the number of events before the longest pause. */
   long longestPauseAfter() {
     return longestPauseAfter;
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/TopicFollower.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/TopicFollower.java
@@ -12,191 +12,198 @@
 import org.fawndrum.transport.HostClock;
 
 /**
- * Follows one keyed log from its newest records on, whenever that is wanted: what another daemon
- * tells need not be read again. While the platform does not answer it is asked again and again, at
- * growing intervals; when records are gone before they were read, or the store has gone back to a
- * copy of itself, the newest are read again. Confined to one event loop.
+ * Follows one keyed log from its newest records on, if its schedule requires it: records that
+ * another daemon sent need not be read again. While the platform is unavailable, queries are
+ * retried at increasing intervals. If records expired before they were read, or the store was
+ * restored from a copy, the newest records are read again. Confined to one event loop.
  */
 final class TopicFollower {
-  /** The pause before the first retry, in milliseconds; doubled with each. */
+  /** Delay before the first retry, in milliseconds; doubled with each retry. */
   private static final long FIRST_RETRY_MS = 100;
 
-  /** When the last proof is older than this, a question does not wait, in milliseconds. */
-  private static final long LONGEST_UNPROVED_MS = 1_000;
+  /**
+   * Age of the last confirmation, in milliseconds, above which a query does not wait for new
+   * records.
+   */
+  private static final long MAX_UNCONFIRMED_MS = 1_000;
 
-  /** After how long it is looked again whether the log is to be read, in milliseconds. */
-  private static final long LONGEST_LOOK_MS = 500;
+  /** Maximum interval of checks whether the log is to be read, in milliseconds. */
+  private static final long MAX_CHECK_INTERVAL_MS = 500;
 
-  /** By how much a wait may end early, in milliseconds: timers and clocks are not exact. */
+  /** How much too early a wait may end, in milliseconds: timers and clocks are not exact. */
   private static final long WAIT_MARGIN_MS = 50;
 
-  /** The pause before the newest records are read again, in milliseconds. */
-  private static final long NEWEST_AGAIN_MS = 1;
+  /** Delay before the newest records are read again, in milliseconds. */
+  private static final long REREAD_DELAY_MS = 1;
 
   private final Vertx vertx;
   private final KeyedLog log;
   private final KeyedLog.Topic topic;
-  private final Pace pace;
-  private final Need need;
+  private final Timing timing;
+  private final ReadSchedule schedule;
   private final Reader reader;
   private final HostClock clock;
   private final HostLog hostLog;
   private StorePosition next = StorePosition.NONE;
-  private long provedMs = HostClock.NEVER_MS;
+  private long confirmedMs = HostClock.NEVER_MS;
   private long retryMs = FIRST_RETRY_MS;
-  private boolean lost;
+  private boolean unavailable;
 
   /**
-   * How often a log is asked.
+   * The timing of queries to a log.
    *
-   * @param waitMs how long one question waits for a record, in milliseconds
+   * @param waitMs how long one query waits for a record, in milliseconds
    * @param pauseMs the pause after an answer, in milliseconds
    */
-  record Pace(long waitMs, long pauseMs) {}
+  record Timing(long waitMs, long pauseMs) {}
 
-  /** Tells whether this host has to read the log itself. */
-  interface Need {
+  /** Decides when this host reads the log itself. */
+  interface ReadSchedule {
     /**
-     * Returns in how many milliseconds the log is to be read, as far as is known now; 0 for now.
+     * Returns the delay until the log is to be read, in milliseconds, as far as is known now; 0 for
+     * now.
      */
-    long dueInMs();
+    long delayMs();
 
-    /** Returns the longest pause before a retry, in milliseconds. */
-    long longestRetryMs();
+    /** Returns the maximum delay before a retry, in milliseconds. */
+    long maxRetryMs();
   }
 
-  /** Takes what was read. */
+  /** Receives the records. */
   interface Reader {
-    /** Returns the end of the log as far as it is known here, also from other daemons. */
-    StorePosition readTo();
+    /** Returns the end of the log as known here, including updates from other daemons. */
+    StorePosition knownEnd();
 
-    /** Takes note that the platform answers again; what it holds is read next. */
-    void regained();
+    /** Called when the platform is available again; the content of the log is read next. */
+    void storeAvailable();
 
     /**
-     * Takes the newest record of every key: what is not among them is gone.
+     * Receives the newest record of every key; other keys no longer exist.
      *
-     * @param askedMs when the question was sent, by the host's clock
+     * @param queriedMs when the query was sent, by the host's clock
      */
-    void whole(KeyedPage page, long askedMs);
+    void applySnapshot(KeyedPage page, long queriedMs);
 
     /**
-     * Takes the records since the last reading.
+     * Receives the records since the last read.
      *
-     * @param provedMs a time, by the host's clock, at which the log held nothing else
+     * @param confirmedMs a time, by the host's clock, at which the log contained no other records
      */
-    void changes(KeyedPage page, long provedMs);
+    void applyChanges(KeyedPage page, long confirmedMs);
   }
 
   TopicFollower(
       Vertx vertx,
       KeyedLog log,
       KeyedLog.Topic topic,
-      Pace pace,
-      Need need,
+      Timing timing,
+      ReadSchedule schedule,
       Reader reader,
       HostClock clock,
       HostLog hostLog) {
     this.vertx = vertx;
     this.log = log;
     this.topic = topic;
-    this.pace = pace;
-    this.need = need;
+    this.timing = timing;
+    this.schedule = schedule;
     this.reader = reader;
     this.clock = clock;
     this.hostLog = hostLog;
   }
 
-  /** Asks for the first time; questions follow each other from then on. */
+  /** Sends the first query; each query is followed by the next. */
   void start() {
-    ask();
+    query();
   }
 
-  private void ask() {
-    long dueInMs = need.dueInMs();
-    if (dueInMs > 0) {
-      vertx.setTimer(Math.min(LONGEST_LOOK_MS, dueInMs), id -> ask());
+  private void query() {
+    long delayMs = schedule.delayMs();
+    if (delayMs > 0) {
+      vertx.setTimer(Math.min(MAX_CHECK_INTERVAL_MS, delayMs), id -> query());
       return;
     }
-    next = next.isKnown() ? next.max(reader.readTo()) : next;
-    long askedMs = clock.nowMs();
-    boolean whole = !next.isKnown();
-    long waitMs = askedMs - provedMs > LONGEST_UNPROVED_MS ? 0 : pace.waitMs();
-    (whole ? log.newest(topic) : log.read(topic, next.offset(), waitMs))
+    next = next.isKnown() ? next.max(reader.knownEnd()) : next;
+    long queriedMs = clock.nowMs();
+    boolean snapshot = !next.isKnown();
+    long waitMs = queriedMs - confirmedMs > MAX_UNCONFIRMED_MS ? 0 : timing.waitMs();
+    (snapshot ? log.newest(topic) : log.read(topic, next.offset(), waitMs))
         .whenComplete(
             (page, failure) -> {
               if (failure == null) {
-                answered(page, whole, askedMs, waitMs);
+                pageReceived(page, snapshot, queriedMs, waitMs);
               } else {
-                failed(failure);
+                queryFailed(failure);
               }
             });
   }
 
-  private void answered(KeyedPage page, boolean whole, long askedMs, long waitMs) {
-    tellRegained();
+  private void pageReceived(KeyedPage page, boolean snapshot, long queriedMs, long waitMs) {
+    reportAvailable();
     retryMs = FIRST_RETRY_MS;
-    if (!whole && page.era() > next.era()) {
-      // Its offsets are others now, so that nothing says what lies before this page.
+    if (!snapshot && page.era() > next.era()) {
+      // Offsets of different epochs are not comparable, so the records before this page are
+      // unknown.
       hostLog.event(LogEvent.STORE_WENT_BACK, topic, next.era(), page.era());
       next = StorePosition.NONE;
-      askAfter(NEWEST_AGAIN_MS);
+      queryAfter(REREAD_DELAY_MS);
       return;
     }
     if (next.isAfter(page.endPosition())) {
-      // Of before what is known here; asked at once, the same might come without a pause.
-      askAfter(Math.max(FIRST_RETRY_MS, pace.pauseMs()));
+      // The page is older than the state known here. Querying again at once might return the same
+      // page without any pause.
+      queryAfter(Math.max(FIRST_RETRY_MS, timing.pauseMs()));
       return;
     }
     next = page.endPosition();
-    provedMs = whole ? askedMs : provedMs(page, askedMs, waitMs);
-    if (whole) {
-      reader.whole(page, askedMs);
+    confirmedMs = snapshot ? queriedMs : confirmedMs(page, queriedMs, waitMs);
+    if (snapshot) {
+      reader.applySnapshot(page, queriedMs);
     } else {
-      reader.changes(page, provedMs);
+      reader.applyChanges(page, confirmedMs);
     }
-    askAfter(pace.pauseMs());
+    queryAfter(timing.pauseMs());
   }
 
-  private void tellRegained() {
-    if (lost) {
-      lost = false;
+  private void reportAvailable() {
+    if (unavailable) {
+      unavailable = false;
       hostLog.event(LogEvent.PLATFORM_BACK);
-      reader.regained();
+      reader.storeAvailable();
     }
   }
 
   /**
-   * Returns the time up to which an answer proves what the log held. One without records came only
-   * after the wait was over, and so proves that nothing was there until then.
+   * Returns the time up to which an answer confirms the content of the log. An answer without
+   * records arrives only after the full wait, and so confirms that there were none up to then.
    */
-  private long provedMs(KeyedPage page, long askedMs, long waitMs) {
-    boolean waited = page.records().isEmpty() && clock.nowMs() - askedMs >= waitMs;
-    return waited ? askedMs + Math.max(0, waitMs - WAIT_MARGIN_MS) : askedMs;
+  private long confirmedMs(KeyedPage page, long queriedMs, long waitMs) {
+    boolean fullWait = page.records().isEmpty() && clock.nowMs() - queriedMs >= waitMs;
+    return fullWait ? queriedMs + Math.max(0, waitMs - WAIT_MARGIN_MS) : queriedMs;
   }
 
-  private void failed(Throwable failure) {
+  private void queryFailed(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     if (cause instanceof RecordsExpiredException) {
-      // What was missed is gone; the newest record of every key says all that matters.
+      // The missed records have expired; the newest record of every key contains all that is
+      // needed.
       hostLog.event(LogEvent.STORE_GAP, topic, Long.toString(next.offset()));
       next = StorePosition.NONE;
-      askAfter(NEWEST_AGAIN_MS);
+      queryAfter(REREAD_DELAY_MS);
       return;
     }
-    if (!lost) {
-      lost = true;
+    if (!unavailable) {
+      unavailable = true;
       hostLog.event(LogEvent.PLATFORM_LOST, String.valueOf(cause));
     }
-    askAfter(retryMs);
-    retryMs = Math.min(need.longestRetryMs(), retryMs * 2);
+    queryAfter(retryMs);
+    retryMs = Math.min(schedule.maxRetryMs(), retryMs * 2);
   }
 
-  private void askAfter(long afterMs) {
+  private void queryAfter(long afterMs) {
     if (afterMs <= 0) {
-      ask();
+      query();
     } else {
-      vertx.setTimer(afterMs, id -> ask());
+      vertx.setTimer(afterMs, id -> query());
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/package-info.java
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * Passes callers' requests on to endpoints as they are, and answers back as they come. What the
- * messages look like is a {@link org.fawndrum.transport.relay.RelayCodec}'s matter.
+ * Relays callers' requests to endpoints unchanged, and endpoints' answers to callers. The format of
+ * the headers is defined by a {@link org.fawndrum.transport.relay.RelayCodec}.
  */
 package org.fawndrum.transport.relay;
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/ConfigurationTrustTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/ConfigurationTrustTest.java
@@ -17,27 +17,27 @@
 
   @Test
   void keysThatNeedProofEndBeforeTheBound() {
-    assertTrue(ConfigurationTrust.forKeys(bounds(true), 4_500));
-    assertFalse(ConfigurationTrust.forKeys(bounds(true), 4_700));
-    assertFalse(ConfigurationTrust.forKeys(bounds(true), NEVER_PROVEN_MS));
+    assertTrue(ConfigurationFreshness.acceptsKeys(bounds(true), 4_500));
+    assertFalse(ConfigurationFreshness.acceptsKeys(bounds(true), 4_700));
+    assertFalse(ConfigurationFreshness.acceptsKeys(bounds(true), NEVER_PROVEN_MS));
   }
 
   @Test
   void keysThatNeedNoneGoOnWithTheLastConfiguration() {
-    assertTrue(ConfigurationTrust.forKeys(bounds(false), 60_000));
-    assertTrue(ConfigurationTrust.forKeys(bounds(false), NEVER_PROVEN_MS));
+    assertTrue(ConfigurationFreshness.acceptsKeys(bounds(false), 60_000));
+    assertTrue(ConfigurationFreshness.acceptsKeys(bounds(false), NEVER_PROVEN_MS));
   }
 
   @Test
   void callersStayAwayFromAHostWithoutProof() {
-    assertTrue(ConfigurationTrust.forCallers(bounds(true), 4_900, true));
-    assertFalse(ConfigurationTrust.forCallers(bounds(true), 5_100, false));
+    assertTrue(ConfigurationFreshness.acceptsCallers(bounds(true), 4_900, true));
+    assertFalse(ConfigurationFreshness.acceptsCallers(bounds(true), 5_100, false));
   }
 
   @Test
   void withoutNeedOfProofOnlyACutOffHostLosesItsCallers() {
-    assertTrue(ConfigurationTrust.forCallers(bounds(false), 60_000, false));
-    assertFalse(ConfigurationTrust.forCallers(bounds(false), 60_000, true));
-    assertTrue(ConfigurationTrust.forCallers(bounds(false), 1_000, true));
+    assertTrue(ConfigurationFreshness.acceptsCallers(bounds(false), 60_000, false));
+    assertFalse(ConfigurationFreshness.acceptsCallers(bounds(false), 60_000, true));
+    assertTrue(ConfigurationFreshness.acceptsCallers(bounds(false), 1_000, true));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/CurrentStartsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/CurrentStartsTest.java
@@ -22,7 +22,7 @@
   private final List<String> sent = new ArrayList<>();
   private final List<HostIdentity> told = new ArrayList<>();
   private long answering = 1;
-  private final CurrentStarts starts = new CurrentStarts(new Engine(), told::add);
+  private final IncarnationGuard starts = new IncarnationGuard(new Engine(), told::add);
 
   /** An engine that takes whatever comes, and says which start it is. */
   private final class Engine implements EngineOrders {
@@ -58,7 +58,7 @@
   }
 
   private void listed(long start) {
-    starts.listed(new HostListing(1, List.of(engine(start)), Set.of(), List.of()));
+    starts.updateListing(new HostListing(1, List.of(engine(start)), Set.of(), List.of()));
   }
 
   private static void assertRestarted(Future<?> future) {
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointReaderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointReaderTest.java
@@ -78,117 +78,117 @@
 
   @Test
   void entriesAreListedInTheOrderOfTheirNames() {
-    reader.whole(page("b", READY, "a", READY), 0);
-    reader.changes(page("c", LEAVING), 0);
+    reader.applySnapshot(page("b", READY, "a", READY), 0);
+    reader.applyChanges(page("c", LEAVING), 0);
     assertEquals(List.of("a", "b", "c"), names());
     assertEquals(Set.of(new HostIdentity("c", 0)), listing.leaving());
   }
 
   @Test
   void aDroppedEntryIsGoneAtOnce() {
-    reader.whole(page("a", READY, "b", READY), 0);
-    reader.changes(page("a", NONE), 0);
+    reader.applySnapshot(page("a", READY, "b", READY), 0);
+    reader.applyChanges(page("a", NONE), 0);
     assertEquals(List.of("b"), names());
   }
 
   @Test
   void entriesThatLapsedInAnOutageHaveTwoSecondsToComeBack() {
-    reader.whole(page("a", READY, "b", READY), 0);
+    reader.applySnapshot(page("a", READY, "b", READY), 0);
     nowMs = 9_000;
-    reader.regained();
-    reader.changes(page("a", NONE, "b", NONE), 0);
+    reader.storeAvailable();
+    reader.applyChanges(page("a", NONE, "b", NONE), 0);
     assertEquals(List.of("a", "b"), names());
     nowMs = 10_000;
-    reader.changes(page("a", READY), 0);
+    reader.applyChanges(page("a", READY), 0);
     nowMs = 11_001;
-    reader.changes(page(), 0);
+    reader.applyChanges(page(), 0);
     assertEquals(List.of("a"), names());
   }
 
   @Test
   void oneThatLeftWhileOnlyThisHostCouldNotReadIsGoneAtOnce() {
-    reader.whole(page("a", READY, "b", READY, "c", READY), 0);
+    reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
     nowMs = 9_000;
-    reader.regained();
-    reader.whole(page("a", READY, "c", READY), 0);
+    reader.storeAvailable();
+    reader.applySnapshot(page("a", READY, "c", READY), 0);
     assertEquals(List.of("a", "c"), names());
-    reader.changes(page("c", NONE), 0);
+    reader.applyChanges(page("c", NONE), 0);
     assertEquals(List.of("a"), names());
   }
 
   @Test
   void afterACompactedHistoryOnlyWhatTheStoreHoldsIsListed() {
-    reader.whole(page("a", READY, "b", READY), 0);
-    reader.whole(page("b", READY), 0);
+    reader.applySnapshot(page("a", READY, "b", READY), 0);
+    reader.applySnapshot(page("b", READY), 0);
     assertEquals(List.of("b"), names());
   }
 
   @Test
   void anUnreadableRecordEndsItsEntryAndNoOther() {
-    reader.whole(page("a", READY, "b", READY), 0);
-    reader.changes(page("a", new byte[] {'x'}, "c", READY), 0);
+    reader.applySnapshot(page("a", READY, "b", READY), 0);
+    reader.applyChanges(page("a", new byte[] {'x'}, "c", READY), 0);
     assertEquals(List.of("b", "c"), names());
     assertTrue(listing.leaving().isEmpty());
-    assertEquals(1, reader.unusable());
-    reader.changes(page("a", READY), 0);
+    assertEquals(1, reader.unusableCount());
+    reader.applyChanges(page("a", READY), 0);
     assertEquals(List.of("a", "b", "c"), names());
   }
 
   @Test
   void anUnreadableRecordEndsItsEntryAlsoWhileOthersMayComeBack() {
-    reader.whole(page("a", READY, "b", READY), 0);
+    reader.applySnapshot(page("a", READY, "b", READY), 0);
     nowMs = 9_000;
-    reader.regained();
-    reader.changes(page("a", new byte[] {'x'}, "b", NONE), 0);
+    reader.storeAvailable();
+    reader.applyChanges(page("a", new byte[] {'x'}, "b", NONE), 0);
     assertEquals(List.of("b"), names());
   }
 
   @Test
   void hostsThatAskLearnThatAnEntryHasBecomeUnusable() {
-    reader.whole(page("a", READY, "b", READY, "c", READY), 0);
-    long before = reader.changedTo().offset();
-    reader.changes(new KeyedPage(List.of(new KeyedRecord(9, "a", new byte[] {'x'})), 10), 0);
-    assertTrue(reader.changedTo().offset() > before, "nothing to ask for");
+    reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
+    long before = reader.lastChange().offset();
+    reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(9, "a", new byte[] {'x'})), 10), 0);
+    assertTrue(reader.lastChange().offset() > before, "nothing to ask for");
     List<HostListing> heard = new ArrayList<>();
     EndpointReader asking =
         new EndpointReader(new Decoder(), heard::add, () -> nowMs, new HostLog("test"));
-    asking.whole(page("a", READY, "b", NONE, "c", NONE), 0);
+    asking.applySnapshot(page("a", READY, "b", NONE, "c", NONE), 0);
     // The platform has just come back for it, so that what is merely missing is kept for a while.
-    asking.regained();
-    asking.whole(new KeyedPage(reader.records(), 10), 0);
+    asking.storeAvailable();
+    asking.applySnapshot(new KeyedPage(reader.records(), 10), 0);
     assertEquals(List.of("b", "c"), heard.get(1).endpoints().stream().map(Endpoint::name).toList());
   }
 
   @Test
   void whatIsKnownOfAnUnusableEntryGoesWithItsRecord() {
-    reader.whole(page("a", READY, "b", READY), 0);
-    reader.changes(page("a", new byte[] {'x'}), 0);
+    reader.applySnapshot(page("a", READY, "b", READY), 0);
+    reader.applyChanges(page("a", new byte[] {'x'}), 0);
     assertEquals(2, reader.records().size());
-    reader.whole(page("b", READY), 0);
+    reader.applySnapshot(page("b", READY), 0);
     assertEquals(1, reader.records().size());
   }
 
   @Test
   void onlyChangesThatMatterMoveTheirEnd() {
-    reader.whole(page("a", READY, "b", READY), 0);
-    assertEquals(3, reader.changedTo().offset());
-    reader.changes(new KeyedPage(List.of(new KeyedRecord(9, "a", READY)), 10), 0);
-    assertEquals(10, reader.readTo().offset());
-    assertEquals(3, reader.changedTo().offset());
-    reader.changes(new KeyedPage(List.of(new KeyedRecord(10, "a", LEAVING)), 11), 0);
-    assertEquals(11, reader.changedTo().offset());
-    reader.changes(new KeyedPage(List.of(new KeyedRecord(11, "a", NONE)), 12), 0);
-    assertEquals(13, reader.changedTo().offset());
+    reader.applySnapshot(page("a", READY, "b", READY), 0);
+    assertEquals(3, reader.lastChange().offset());
+    reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(9, "a", READY)), 10), 0);
+    assertEquals(10, reader.knownEnd().offset());
+    assertEquals(3, reader.lastChange().offset());
+    reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(10, "a", LEAVING)), 11), 0);
+    assertEquals(11, reader.lastChange().offset());
+    reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(11, "a", NONE)), 12), 0);
+    assertEquals(13, reader.lastChange().offset());
   }
 
   @Test
   void theAgeCountsFromTheLatestProof() {
-    reader.whole(page("a", READY), 900);
+    reader.applySnapshot(page("a", READY), 900);
     assertEquals(100, reader.ageMs(nowMs));
-    reader.confirmed(new StorePosition(0, 7), 950);
-    assertEquals(7, reader.readTo().offset());
-    reader.confirmed(new StorePosition(0, 5), 300);
-    assertEquals(7, reader.readTo().offset());
+    reader.confirm(new StorePosition(0, 7), 950);
+    assertEquals(7, reader.knownEnd().offset());
+    reader.confirm(new StorePosition(0, 5), 300);
+    assertEquals(7, reader.knownEnd().offset());
     assertEquals(50, reader.ageMs(nowMs));
   }
 
@@ -201,31 +201,31 @@
   }
 
   private void wholeIn(long era, Object... keysAndValues) {
-    reader.whole(inEra(era, page(keysAndValues)), nowMs);
+    reader.applySnapshot(inEra(era, page(keysAndValues)), nowMs);
   }
 
   @Test
   void anEndpointThatWasGoneComesBackOnlyWithWhatItWroteSince() {
     wholeIn(1, "a", written('r', 5), "b", written('r', 5));
-    reader.changes(inEra(1, page("a", NONE)), nowMs);
+    reader.applyChanges(inEra(1, page("a", NONE)), nowMs);
     wholeIn(2, "a", written('r', 4), "b", written('r', 4));
     assertEquals(List.of("b"), names());
-    reader.changes(inEra(2, page("a", written('r', 6))), nowMs);
+    reader.applyChanges(inEra(2, page("a", written('r', 6))), nowMs);
     assertEquals(List.of("a", "b"), names());
   }
 
   @Test
   void inOneEraWhatComesLaterCountsWhateverItsNumber() {
     wholeIn(1, "a", written('r', 5), "b", written('r', 5));
-    reader.changes(inEra(1, page("a", NONE)), nowMs);
-    reader.changes(inEra(1, page("a", written('r', 1))), nowMs);
+    reader.applyChanges(inEra(1, page("a", NONE)), nowMs);
+    reader.applyChanges(inEra(1, page("a", written('r', 1))), nowMs);
     assertEquals(List.of("a", "b"), names());
   }
 
   @Test
   void anEndpointThatIsLeavingStaysSoUntilItWritesOtherwise() {
     wholeIn(1, "a", written('r', 5));
-    reader.changes(inEra(1, page("a", written('l', 6))), nowMs);
+    reader.applyChanges(inEra(1, page("a", written('l', 6))), nowMs);
     wholeIn(2, "a", written('r', 5));
     assertEquals(Set.of(new HostIdentity("a", 0)), listing.leaving());
     // Hosts that ask this one learn the same.
@@ -238,7 +238,7 @@
     wholeIn(2, "a", written('r', 1), "b", written('r', 1));
     assertEquals(List.of("a", "b", "c"), names());
     nowMs += 2_001;
-    reader.changes(inEra(2, page()), nowMs);
+    reader.applyChanges(inEra(2, page()), nowMs);
     assertEquals(List.of("a", "b"), names());
   }
 
@@ -247,9 +247,9 @@
     wholeIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
     wholeIn(2, "a", written('r', 1), "b", written('r', 1));
     nowMs += 1_000;
-    reader.changes(inEra(2, page("c", written('r', 2))), nowMs);
+    reader.applyChanges(inEra(2, page("c", written('r', 2))), nowMs);
     nowMs += 2_001;
-    reader.changes(inEra(2, page()), nowMs);
+    reader.applyChanges(inEra(2, page()), nowMs);
     assertEquals(List.of("a", "b", "c"), names());
   }
 
@@ -257,7 +257,7 @@
   void anEntryThatGoesAfterTheStoreCameBackIsGoneAtOnce() {
     wholeIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
     wholeIn(2, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    reader.changes(inEra(2, page("a", NONE)), nowMs);
+    reader.applyChanges(inEra(2, page("a", NONE)), nowMs);
     assertEquals(List.of("b", "c"), names());
   }
 
@@ -265,26 +265,26 @@
   void whatWasReadBeforeTheStoreWentBackProvesNothing() {
     wholeIn(2, "a", READY);
     nowMs += 500;
-    reader.whole(inEra(1, page("a", LEAVING, "b", READY)), nowMs);
-    reader.confirmed(new StorePosition(1, 90), nowMs);
+    reader.applySnapshot(inEra(1, page("a", LEAVING, "b", READY)), nowMs);
+    reader.confirm(new StorePosition(1, 90), nowMs);
     assertEquals(List.of("a"), names());
     assertEquals(500, reader.ageMs(nowMs));
-    assertEquals(new StorePosition(2, 1), reader.readTo());
+    assertEquals(new StorePosition(2, 1), reader.knownEnd());
   }
 
   @Test
   void lowerOffsetsOfALaterEraComeAfterAll() {
     wholeIn(1, "a", READY, "b", READY, "c", READY);
     wholeIn(2, "a", READY);
-    assertEquals(new StorePosition(2, 1), reader.readTo());
-    reader.changes(inEra(2, page("a", LEAVING)), nowMs);
-    assertEquals(new StorePosition(2, 1), reader.changedTo());
+    assertEquals(new StorePosition(2, 1), reader.knownEnd());
+    reader.applyChanges(inEra(2, page("a", LEAVING)), nowMs);
+    assertEquals(new StorePosition(2, 1), reader.lastChange());
   }
 
   @Test
   void theStoreMayGoBackAgainAndAgain() {
     wholeIn(1, "a", written('r', 5), "b", written('r', 5));
-    reader.changes(inEra(1, page("a", NONE)), nowMs);
+    reader.applyChanges(inEra(1, page("a", NONE)), nowMs);
     for (long era = 2; era < 6; era++) {
       wholeIn(era, "a", written('r', 5), "b", written('r', 5));
       assertEquals(List.of("b"), names(), "era " + era);
@@ -296,18 +296,18 @@
     wholeIn(1, "a", written('r', 1), "b", written('r', 1));
     wholeIn(2, "a", written('r', 1), "b", written('r', 1));
     KeyedRecord late = new KeyedRecord(90, "a", NONE);
-    reader.changes(new KeyedPage(List.of(late), 91, 1), nowMs);
+    reader.applyChanges(new KeyedPage(List.of(late), 91, 1), nowMs);
     assertEquals(List.of("a", "b"), names());
-    assertEquals(2, reader.readTo().era());
+    assertEquals(2, reader.knownEnd().era());
   }
 
   @Test
   void whatIsWrittenAgainAsItWasStays() {
     wholeIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
     wholeIn(2, "a", written('r', 1), "b", written('r', 1));
-    reader.changes(inEra(2, page("c", written('r', 1))), nowMs);
+    reader.applyChanges(inEra(2, page("c", written('r', 1))), nowMs);
     nowMs += 2_001;
-    reader.changes(inEra(2, page()), nowMs);
+    reader.applyChanges(inEra(2, page()), nowMs);
     assertEquals(List.of("a", "b", "c"), names());
   }
 
@@ -319,72 +319,72 @@
 
   @Test
   void eachChangeHasAPlaceAfterTheOneBefore() {
-    reader.whole(page("a", READY, "b", READY, "c", READY), 0);
-    StorePosition read = reader.changedTo();
-    reader.whole(page("b", READY, "c", READY), 0);
-    StorePosition dropped = reader.changedTo();
+    reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
+    StorePosition read = reader.lastChange();
+    reader.applySnapshot(page("b", READY, "c", READY), 0);
+    StorePosition dropped = reader.lastChange();
     assertTrue(dropped.isAfter(read));
-    reader.whole(page("c", READY), 0);
-    StorePosition droppedAgain = reader.changedTo();
+    reader.applySnapshot(page("c", READY), 0);
+    StorePosition droppedAgain = reader.lastChange();
     assertTrue(droppedAgain.isAfter(dropped), "the log stood still between the two");
-    reader.changes(page("c", LEAVING), 0);
-    assertTrue(reader.changedTo().isAfter(droppedAgain), "read behind a place beyond the end");
+    reader.applyChanges(page("c", LEAVING), 0);
+    assertTrue(reader.lastChange().isAfter(droppedAgain), "read behind a place beyond the end");
   }
 
   @Test
   void aHostThatKnowsTheRestIsToldOnlyWhatChanged() {
-    reader.whole(page("a", READY, "b", READY, "c", READY), 0);
-    StorePosition known = reader.changedTo();
-    reader.changes(page("a", LEAVING), 0);
-    reader.changes(page("b", NONE), 0);
+    reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
+    StorePosition known = reader.lastChange();
+    reader.applyChanges(page("a", LEAVING), 0);
+    reader.applyChanges(page("b", NONE), 0);
     assertEquals(Set.of("a", "b"), keysChangedSince(known));
-    assertEquals(Set.of(), keysChangedSince(reader.changedTo()));
+    assertEquals(Set.of(), keysChangedSince(reader.lastChange()));
   }
 
   @Test
   void whatItIsToldBringsItToTheSameList() {
-    reader.whole(page("a", READY, "b", READY, "c", READY), 0);
+    reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
     EndpointReader other =
         new EndpointReader(
             new Decoder(), newer -> listing = newer, () -> nowMs, new HostLog("test"));
-    other.whole(new KeyedPage(reader.records(), reader.readTo().offset()), 0);
-    StorePosition known = reader.changedTo();
-    reader.changes(page("a", LEAVING), 0);
-    reader.changes(page("b", NONE), 0);
+    other.applySnapshot(new KeyedPage(reader.records(), reader.knownEnd().offset()), 0);
+    StorePosition known = reader.lastChange();
+    reader.applyChanges(page("a", LEAVING), 0);
+    reader.applyChanges(page("b", NONE), 0);
     List<KeyedRecord> told = reader.changesSince(known).orElseThrow();
-    other.changes(new KeyedPage(told, reader.readTo().offset()), 0);
+    other.applyChanges(new KeyedPage(told, reader.knownEnd().offset()), 0);
     assertEquals(List.of("a", "c"), names());
     assertEquals(Set.of(new HostIdentity("a", 0)), listing.leaving());
   }
 
   @Test
   void aHostOfAnotherEraOrFarBehindIsToldAll() {
-    reader.whole(page("a", READY), 0);
+    reader.applySnapshot(page("a", READY), 0);
     assertTrue(reader.changesSince(StorePosition.NONE).isEmpty());
-    for (int i = 0; i <= EntryChanges.MOST; i++) {
-      reader.changes(page("e" + i, READY), 0);
+    for (int i = 0; i <= EntryChanges.MAX_KEPT; i++) {
+      reader.applyChanges(page("e" + i, READY), 0);
     }
     assertTrue(reader.changesSince(new StorePosition(0, 0)).isEmpty());
-    assertEquals(Set.of(), keysChangedSince(reader.changedTo()));
+    assertEquals(Set.of(), keysChangedSince(reader.lastChange()));
   }
 
   @Test
   void anEntryThatWasWrittenOverIsToldWithAllOthers() {
-    reader.whole(page("a", READY, "b", READY), 0);
-    StorePosition known = reader.changedTo();
-    reader.changes(page("a", new byte[] {'x'}), 0);
+    reader.applySnapshot(page("a", READY, "b", READY), 0);
+    StorePosition known = reader.lastChange();
+    reader.applyChanges(page("a", new byte[] {'x'}), 0);
     assertTrue(reader.changesSince(known).isEmpty());
   }
 
   /** Another thread tells peers how far this host has read, and what changed up to there. */
   @Test
   void nobodyIsToldThatAPageIsReadBeforeAllOfItIs() {
-    reader.whole(page("a", READY), 0);
-    StorePosition before = reader.readTo();
+    reader.applySnapshot(page("a", READY), 0);
+    StorePosition before = reader.knownEnd();
     List<StorePosition> whileReading = new ArrayList<>();
-    whenDecoded = () -> whileReading.add(reader.readTo());
-    reader.changes(page("a", LEAVING, "b", READY, "c", READY), 0);
+    whenDecoded = () -> whileReading.add(reader.knownEnd());
+    reader.applyChanges(page("a", LEAVING, "b", READY, "c", READY), 0);
     assertEquals(List.of(before, before, before), whileReading);
-    assertTrue(reader.readTo().isAfter(before));
+    assertTrue(reader.knownEnd().isAfter(before));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EngineLivenessTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EngineLivenessTest.java
@@ -21,7 +21,7 @@
   private static final long PROBE_MS = 500;
   private static final long LOOK_MS = 200;
 
-  private final HandClock clock = new HandClock();
+  private final ManualClock clock = new ManualClock();
   private final Deque<Promise<Void>> probes = new ArrayDeque<>();
   private final List<Long> signs = new ArrayList<>();
   private int deaths;
@@ -36,21 +36,21 @@
   }
 
   private void lookAfter(long ms) {
-    clock.pass(ms);
+    clock.advance(ms);
     liveness.probeIfSilent();
   }
 
   /** A probe that got no answer in its time; the engine is looked at again a moment later. */
   private void noAnswer() {
-    clock.pass(PROBE_MS);
+    clock.advance(PROBE_MS);
     probes.removeFirst().fail(new EndpointUnreachableException(ENGINE, null));
   }
 
   @Test
   void whatSpeaksIsNotProbed() {
     for (int i = 0; i < 10; i++) {
-      lookAfter(EngineLiveness.SILENCE_MS - 1);
-      liveness.heard();
+      lookAfter(EngineLiveness.PROBE_AFTER_MS - 1);
+      liveness.recordActivity();
     }
     assertTrue(probes.isEmpty());
     assertEquals(10, signs.size());
@@ -59,7 +59,7 @@
   @Test
   void aSilentEngineThatAnswersProbesIsAliveForAsLongAsItDoes() {
     for (int i = 0; i < 20; i++) {
-      lookAfter(EngineLiveness.SILENCE_MS);
+      lookAfter(EngineLiveness.PROBE_AFTER_MS);
       probes.removeFirst().complete();
     }
     assertEquals(0, deaths);
@@ -68,35 +68,35 @@
 
   @Test
   void twoProbesWithoutAnAnswerAreADeathAndOnlyOne() {
-    lookAfter(EngineLiveness.SILENCE_MS);
+    lookAfter(EngineLiveness.PROBE_AFTER_MS);
     noAnswer();
     assertEquals(0, deaths);
     lookAfter(LOOK_MS);
     noAnswer();
     assertEquals(1, deaths);
-    assertTrue(liveness.silentMs() >= EngineLiveness.DEAD_MS);
-    lookAfter(EngineLiveness.SILENCE_MS);
+    assertTrue(liveness.silentMs() >= EngineLiveness.MIN_DEAD_AFTER_MS);
+    lookAfter(EngineLiveness.PROBE_AFTER_MS);
     assertTrue(probes.isEmpty());
     assertEquals(1, deaths);
   }
 
   @Test
   void oneProbeIsEnoughWhereTheEngineShouldHaveSpoken() {
-    clock.pass(EngineLiveness.SILENCE_MS);
-    liveness.suspect();
+    clock.advance(EngineLiveness.PROBE_AFTER_MS);
+    liveness.probeOverdue();
     probes.removeFirst().complete();
     assertEquals(0, deaths);
-    clock.pass(EngineLiveness.SILENCE_MS);
-    liveness.suspect();
+    clock.advance(EngineLiveness.PROBE_AFTER_MS);
+    liveness.probeOverdue();
     noAnswer();
     assertEquals(1, deaths);
-    assertTrue(liveness.silentMs() < EngineLiveness.DEAD_MS);
+    assertTrue(liveness.silentMs() < EngineLiveness.MIN_DEAD_AFTER_MS);
   }
 
   @Test
   void oneLostAnswerIsForgivenEachTime() {
     for (int i = 0; i < 5; i++) {
-      lookAfter(EngineLiveness.SILENCE_MS);
+      lookAfter(EngineLiveness.PROBE_AFTER_MS);
       noAnswer();
       lookAfter(LOOK_MS);
       probes.removeFirst().complete();
@@ -106,12 +106,12 @@
 
   @Test
   void probesThatFailWithinMillisecondsAreNoDeathBeforeItsTime() {
-    clock.pass(EngineLiveness.SILENCE_MS);
-    while (liveness.silentMs() < EngineLiveness.DEAD_MS) {
+    clock.advance(EngineLiveness.PROBE_AFTER_MS);
+    while (liveness.silentMs() < EngineLiveness.MIN_DEAD_AFTER_MS) {
       liveness.probeIfSilent();
       assertEquals(0, deaths, "dead after " + liveness.silentMs());
       probes.removeFirst().fail(new EndpointUnreachableException(ENGINE, null));
-      clock.pass(LOOK_MS);
+      clock.advance(LOOK_MS);
     }
   }
 
@@ -121,7 +121,7 @@
     long releaseMs = 3 * 300;
     long reportAgeMs = 300;
     // The worst case: each look comes as late as it can, each probe fails as late as it can.
-    lookAfter(EngineLiveness.SILENCE_MS - 1);
+    lookAfter(EngineLiveness.PROBE_AFTER_MS - 1);
     lookAfter(LOOK_MS);
     while (deaths == 0) {
       noAnswer();
@@ -135,21 +135,21 @@
 
   @Test
   void aSignCountsFromTheProbeAndNotFromItsAnswer() {
-    lookAfter(EngineLiveness.SILENCE_MS);
-    clock.pass(400);
+    lookAfter(EngineLiveness.PROBE_AFTER_MS);
+    clock.advance(400);
     probes.removeFirst().complete();
-    assertEquals(List.of(EngineLiveness.SILENCE_MS), signs);
+    assertEquals(List.of(EngineLiveness.PROBE_AFTER_MS), signs);
     assertEquals(400, liveness.silentMs());
   }
 
   @Test
   void oneProbeAtATimeAndNoneAfterTheEnd() {
-    lookAfter(EngineLiveness.SILENCE_MS);
+    lookAfter(EngineLiveness.PROBE_AFTER_MS);
     lookAfter(100);
     assertEquals(1, probes.size());
-    liveness.end();
+    liveness.stop();
     noAnswer();
-    lookAfter(EngineLiveness.SILENCE_MS);
+    lookAfter(EngineLiveness.PROBE_AFTER_MS);
     assertTrue(probes.isEmpty());
     assertEquals(0, deaths);
   }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EventSplitterTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EventSplitterTest.java
@@ -35,7 +35,7 @@
     int turn = 0;
     while (at < whole.length()) {
       int end = Math.min(whole.length(), at + cuts.get(turn++ % cuts.size()));
-      seen.addAll(splitter.take(Buffer.buffer(whole.substring(at, end))));
+      seen.addAll(splitter.append(Buffer.buffer(whole.substring(at, end))));
       at = end;
     }
     assertEquals(events, seen.size());
@@ -45,20 +45,20 @@
       together.append(seen.get(i).bytes());
     }
     assertEquals(whole.toString(), together.toString());
-    assertFalse(splitter.midEvent());
+    assertFalse(splitter.hasPartialEvent());
   }
 
   @Test
   void aCutEventWaitsAndIsSeenAsCut() {
     EventSplitter splitter = new EventSplitter();
-    assertTrue(splitter.take(Buffer.buffer("id: 1\ndata: a\n")).isEmpty());
-    assertTrue(splitter.midEvent());
+    assertTrue(splitter.append(Buffer.buffer("id: 1\ndata: a\n")).isEmpty());
+    assertTrue(splitter.hasPartialEvent());
   }
 
   @Test
   void anEventWithoutAnIdOrWithABadOneHasNone() {
     EventSplitter splitter = new EventSplitter();
-    assertEquals(-1, splitter.take(Buffer.buffer("data: a\n\n")).get(0).id());
-    assertEquals(-1, splitter.take(Buffer.buffer("id: x\ndata: a\n\n")).get(0).id());
+    assertEquals(-1, splitter.append(Buffer.buffer("data: a\n\n")).get(0).id());
+    assertEquals(-1, splitter.append(Buffer.buffer("id: x\ndata: a\n\n")).get(0).id());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/LeavingNoticesTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/LeavingNoticesTest.java
@@ -12,7 +12,7 @@
 
 /** For how long other daemons are told that endpoints leave, and of how many. */
 class LeavingNoticesTest {
-  private final LeavingNotices words = new LeavingNotices();
+  private final ShutdownNotices words = new ShutdownNotices();
 
   private static HostIdentity endpoint(int number) {
     return new HostIdentity("e-" + number, 1);
@@ -20,11 +20,11 @@
 
   @Test
   void anEndpointIsNamedForFiveHeartbeats() {
-    words.learned(List.of(endpoint(1)), 1_000);
-    assertEquals(List.of(endpoint(1)), words.toTell(1_000));
-    words.learned(List.of(endpoint(2)), 4_000);
-    assertEquals(List.of(endpoint(1), endpoint(2)), words.toTell(6_000));
-    assertEquals(List.of(endpoint(2)), words.toTell(6_001));
+    words.add(List.of(endpoint(1)), 1_000);
+    assertEquals(List.of(endpoint(1)), words.current(1_000));
+    words.add(List.of(endpoint(2)), 4_000);
+    assertEquals(List.of(endpoint(1), endpoint(2)), words.current(6_000));
+    assertEquals(List.of(endpoint(2)), words.current(6_001));
   }
 
   @Test
@@ -33,8 +33,8 @@
     for (int i = 0; i < 1_000; i++) {
       many.add(endpoint(i));
     }
-    words.learned(many, 0);
-    List<HostIdentity> told = words.toTell(0);
+    words.add(many, 0);
+    List<HostIdentity> told = words.current(0);
     assertEquals(64, told.size());
     assertTrue(told.contains(endpoint(999)));
     assertFalse(told.contains(endpoint(0)));
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/HandClock.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/ManualClock.java
@@ -4,7 +4,7 @@
 import org.fawndrum.transport.HostClock;
 
 /** A clock that a test moves. */
-final class HandClock implements HostClock {
+final class ManualClock implements HostClock {
   private long nowMs;
 
   @Override
@@ -12,7 +12,7 @@
     return nowMs;
   }
 
-  void pass(long ms) {
+  void advance(long ms) {
     nowMs += ms;
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/MemoryUseTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/MemoryUseTest.java
@@ -15,23 +15,23 @@
   private static final EngineReport IDLE = new EngineReport(0, 0, Set.of());
   private static final EngineReport BUSY = new EngineReport(0, 1, Set.of());
 
-  private final MemoryUse use = new MemoryUse();
+  private final MemoryUseTracker use = new MemoryUseTracker();
 
   private boolean possible(EngineReport reader, EngineReport holder) {
-    return use.possible(reader, holder, TICKET, 1_000);
+    return use.mayBeInUse(reader, holder, TICKET, 1_000);
   }
 
   @Test
   void usedMemoryIsUsedHoweverIdleItsEngineLooks() {
     assertTrue(possible(IDLE, USED));
-    assertTrue(use.possible(IDLE, USED, TICKET, 100 * MemoryUse.LONGEST_WAIT_MS));
+    assertTrue(use.mayBeInUse(IDLE, USED, TICKET, 100 * MemoryUseTracker.MAX_UNUSED_MS));
   }
 
   @Test
   void aRequestThatMayWaitForItsTurnKeepsItsMemoryForAWhile() {
     assertTrue(possible(BUSY, UNUSED));
-    assertTrue(use.possible(BUSY, UNUSED, TICKET, MemoryUse.LONGEST_WAIT_MS - 1));
-    assertFalse(use.possible(BUSY, UNUSED, TICKET, MemoryUse.LONGEST_WAIT_MS));
+    assertTrue(use.mayBeInUse(BUSY, UNUSED, TICKET, MemoryUseTracker.MAX_UNUSED_MS - 1));
+    assertFalse(use.mayBeInUse(BUSY, UNUSED, TICKET, MemoryUseTracker.MAX_UNUSED_MS));
   }
 
   @Test
@@ -47,7 +47,7 @@
 
   @Test
   void aRequestWhoseAnswerBeganHadItsTurn() {
-    use.begun();
+    use.recordStart();
     assertFalse(possible(BUSY, UNUSED));
     assertTrue(possible(BUSY, USED));
   }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/UntoldFleet.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/NoOpEndpointEventPublisher.java
@@ -7,19 +7,19 @@
 import org.fawndrum.state.HostIdentity;
 
 /** For hosts in tests that are alone. */
-final class UntoldFleet implements FleetTeller {
+final class NoOpEndpointEventPublisher implements EndpointEventPublisher {
   @Override
-  public void crashes(CrashNews news) {
+  public void publishCrashes(CrashNews news) {
     // Nobody is there to be told.
   }
 
   @Override
-  public void allCrashes(HostAddress to, CrashNews all) {
+  public void sendAllCrashes(HostAddress to, CrashNews all) {
     // Nobody is there to be told.
   }
 
   @Override
-  public void leaving(List<HostIdentity> endpoints) {
+  public void publishShutdowns(List<HostIdentity> endpoints) {
     // Nobody is there to be told.
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/PeerViewsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/PeerViewsTest.java
@@ -23,7 +23,7 @@
   /** Where a host that read up to 100 and dropped an entry then says that it changed. */
   private static final StorePosition DROPPED = new StorePosition(0, 101);
 
-  private final PeerViews views = new PeerViews();
+  private final PeerPositions views = new PeerPositions();
 
   private static FleetMember member(int host, long incarnation) {
     return new FleetMember(
@@ -34,14 +34,14 @@
   }
 
   private void ask(FleetMember peer) {
-    views.taken(peer.address(), views.question(peer.address(), READ_TO));
+    views.replyApplied(peer.address(), views.query(peer.address(), READ_TO));
   }
 
   /** Hears so many messages and asks with each that calls for it; returns how often it asked. */
   private int asksIn(int messages, FleetMember peer, StorePosition changed) {
     int asks = 0;
     for (int i = 0; i < messages; i++) {
-      if (views.told(peer, changed, READ_TO)) {
+      if (views.positionReported(peer, changed, READ_TO)) {
         asks++;
         ask(peer);
       }
@@ -52,7 +52,7 @@
   @Test
   void anEntryThatWentIsAskedForOnceAndNotWithEachMessage() {
     assertEquals(1, asksIn(50, SPEAKER, DROPPED));
-    StorePosition known = views.question(SPEAKER.address(), READ_TO).known();
+    StorePosition known = views.query(SPEAKER.address(), READ_TO).known();
     assertEquals(DROPPED, known, "the next regular question names it");
   }
 
@@ -66,27 +66,27 @@
   @Test
   void whatOneHostDroppedSaysNothingOfAnother() {
     asksIn(1, SPEAKER, DROPPED);
-    assertTrue(views.told(OTHER, DROPPED, READ_TO));
+    assertTrue(views.positionReported(OTHER, DROPPED, READ_TO));
   }
 
   @Test
   void aQuestionWithoutAnAnswerIsAskedAgain() {
-    assertTrue(views.told(SPEAKER, DROPPED, READ_TO));
-    assertTrue(views.told(SPEAKER, DROPPED, READ_TO));
+    assertTrue(views.positionReported(SPEAKER, DROPPED, READ_TO));
+    assertTrue(views.positionReported(SPEAKER, DROPPED, READ_TO));
   }
 
   @Test
   void anAnswerCoversOnlyWhatWasToldBeforeItsQuestion() {
-    views.told(SPEAKER, DROPPED, READ_TO);
-    PeerViews.Question question = views.question(SPEAKER.address(), READ_TO);
-    views.told(SPEAKER, new StorePosition(0, 102), READ_TO);
-    views.taken(SPEAKER.address(), question);
-    assertTrue(views.told(SPEAKER, new StorePosition(0, 102), READ_TO));
+    views.positionReported(SPEAKER, DROPPED, READ_TO);
+    PeerPositions.Query question = views.query(SPEAKER.address(), READ_TO);
+    views.positionReported(SPEAKER, new StorePosition(0, 102), READ_TO);
+    views.replyApplied(SPEAKER.address(), question);
+    assertTrue(views.positionReported(SPEAKER, new StorePosition(0, 102), READ_TO));
   }
 
   @Test
   void whatThisHostHasReadIsNotAskedFor() {
-    assertFalse(views.told(SPEAKER, READ_TO, READ_TO));
+    assertFalse(views.positionReported(SPEAKER, READ_TO, READ_TO));
   }
 
   /** It counts its own drops anew, so that its places say nothing of those of before. */
@@ -94,16 +94,16 @@
   void aPeerThatStartsAgainIsAskedFromWhatThisHostHasRead() {
     asksIn(1, SPEAKER, new StorePosition(0, 160));
     FleetMember later = member(1, 2);
-    assertTrue(views.told(later, DROPPED, READ_TO));
-    assertEquals(READ_TO, views.question(later.address(), READ_TO).known());
+    assertTrue(views.positionReported(later, DROPPED, READ_TO));
+    assertEquals(READ_TO, views.query(later.address(), READ_TO).known());
   }
 
   @Test
   void anAnswerOfALaterIncarnationThanTheQuestionWasForIsNone() {
-    PeerViews.Question first = views.question(SPEAKER.address(), READ_TO);
+    PeerPositions.Query first = views.query(SPEAKER.address(), READ_TO);
     assertTrue(first.isAnsweredBy(7), "whoever is there, nothing was told before");
-    views.told(SPEAKER, DROPPED, READ_TO);
-    PeerViews.Question question = views.question(SPEAKER.address(), READ_TO);
+    views.positionReported(SPEAKER, DROPPED, READ_TO);
+    PeerPositions.Query question = views.query(SPEAKER.address(), READ_TO);
     assertTrue(question.isAnsweredBy(1));
     assertFalse(question.isAnsweredBy(2));
   }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/PromptMemoryTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/PromptMemoryTest.java
@@ -32,7 +32,7 @@
   private static final Future<EngineReport> IDLE =
       Future.succeededFuture(new EngineReport(0, 0, Set.of()));
 
-  private final HandClock clock = new HandClock();
+  private final ManualClock clock = new ManualClock();
   private final Orders orders = new Orders();
   private final Timers timers = new Timers();
 
@@ -48,7 +48,7 @@
 
     void runAll() {
       while (!steps.isEmpty()) {
-        clock.pass(waits.removeFirst());
+        clock.advance(waits.removeFirst());
         steps.removeFirst().run();
       }
     }
@@ -130,7 +130,7 @@
     PromptMemory memory = memory(1, helper("e-1", 0));
     assertTrue(memory.reserve().succeeded());
     assertEquals("", memory.helpers().get(0).ticket());
-    memory.free();
+    memory.release();
     assertTrue(orders.engines.isEmpty() && orders.released.isEmpty());
   }
 
@@ -166,7 +166,7 @@
   void aRequestThatEndsMeanwhileKeepsNothing() {
     PromptMemory memory = memory(1, helper("e-1", 10), helper("e-2", 10));
     Future<Void> had = memory.reserve();
-    memory.free();
+    memory.release();
     orders.asked.removeFirst().complete(true);
     assertTrue(had.failed());
     assertEquals(List.of("e-1"), orders.engines);
@@ -179,8 +179,8 @@
     memory.reserve();
     orders.asked.removeFirst().complete(true);
     orders.releasesToFail = 2;
-    memory.free();
-    memory.free();
+    memory.release();
+    memory.release();
     assertEquals(List.of("e-1", "e-1", "e-1"), orders.released);
   }
 
@@ -196,8 +196,8 @@
   @Test
   void timeAloneRenewsNoLease() {
     PromptMemory memory = held(helper("e-1", 10));
-    clock.pass(10 * PromptMemory.LEASE_MS);
-    assertTrue(memory.held());
+    clock.advance(10 * PromptMemory.LEASE_MS);
+    assertTrue(memory.isReserved());
     assertEquals(1, orders.engines.size(), "orders without a sign of life");
   }
 
@@ -205,8 +205,8 @@
   void signsOfLifeRenewAllLeasesButNotAtEachSign() {
     PromptMemory memory = held(helper("e-1", 10), helper("e-2", 10));
     for (int i = 0; i < 10; i++) {
-      clock.pass(PromptMemory.RENEWAL_MS / 10);
-      memory.neededAt(clock.nowMs());
+      clock.advance(PromptMemory.MIN_RENEWAL_MS / 10);
+      memory.renewOnEvidence(clock.nowMs());
       orders.grantAll();
     }
     assertEquals(List.of("e-1", "e-2", "e-1", "e-2"), orders.engines);
@@ -216,13 +216,13 @@
   @Test
   void aLeaseNeverGoesFurtherBeyondTheSignOfLifeThanItsLength() {
     PromptMemory memory = held(helper("e-1", 10));
-    clock.pass(PromptMemory.RENEWAL_MS);
+    clock.advance(PromptMemory.MIN_RENEWAL_MS);
     long aliveMs = clock.nowMs();
-    clock.pass(400);
-    memory.neededAt(aliveMs);
+    clock.advance(400);
+    memory.renewOnEvidence(aliveMs);
     assertEquals(List.of(PromptMemory.LEASE_MS, PromptMemory.LEASE_MS - 400), orders.holds);
-    clock.pass(PromptMemory.LEASE_MS);
-    memory.neededAt(aliveMs + PromptMemory.RENEWAL_MS - 400);
+    clock.advance(PromptMemory.LEASE_MS);
+    memory.renewOnEvidence(aliveMs + PromptMemory.MIN_RENEWAL_MS - 400);
     assertEquals(2, orders.holds.size(), "an order for a time that is over");
   }
 
@@ -230,8 +230,8 @@
   void aRenewalWithoutAnAnswerIsSentAgainWithTheNextSign() {
     PromptMemory memory = held(helper("e-1", 10));
     for (int i = 0; i < 3; i++) {
-      clock.pass(PromptMemory.RENEWAL_MS);
-      memory.neededAt(clock.nowMs());
+      clock.advance(PromptMemory.MIN_RENEWAL_MS);
+      memory.renewOnEvidence(clock.nowMs());
       orders.loseNext();
       assertTrue(orders.asked.isEmpty(), "sent again at once");
     }
@@ -241,15 +241,16 @@
   @Test
   void whatALateOrderMaySetAsideIsReleasedUntilNoneCanBeLate() {
     PromptMemory memory = held(helper("e-1", 10), helper("e-2", 10));
-    clock.pass(PromptMemory.RENEWAL_MS);
-    memory.neededAt(clock.nowMs());
+    clock.advance(PromptMemory.MIN_RENEWAL_MS);
+    memory.renewOnEvidence(clock.nowMs());
     orders.loseNext();
     orders.grantAll();
-    memory.free();
+    memory.release();
     assertEquals(List.of("e-1", "e-2"), orders.released);
     timers.runAll();
     long again = orders.released.stream().filter("e-1"::equals).count() - 1;
-    assertTrue(again * PromptMemory.RELEASE_AGAIN_MS >= PromptMemory.LATE_MS, "only " + again);
+    assertTrue(
+        again * PromptMemory.RELEASE_INTERVAL_MS >= PromptMemory.MAX_LATE_MS, "only " + again);
     assertEquals(1, orders.released.stream().filter("e-2"::equals).count());
   }
 
@@ -274,9 +275,9 @@
   @Test
   void aReleaseIsNotOvertakenByTheRenewalBeforeIt() {
     PromptMemory memory = held(helper("e-1", 10));
-    clock.pass(PromptMemory.RENEWAL_MS);
-    memory.neededAt(clock.nowMs());
-    memory.free();
+    clock.advance(PromptMemory.MIN_RENEWAL_MS);
+    memory.renewOnEvidence(clock.nowMs());
+    memory.release();
     assertTrue(orders.released.isEmpty(), "released while a renewal is on its way");
     orders.asked.removeFirst().complete(true);
     assertEquals(List.of("e-1"), orders.released);
@@ -285,13 +286,13 @@
   @Test
   void whatBecameOfTheMemoryIsTold() {
     PromptMemory memory = held(helper("e-1", 10), helper("e-2", 10));
-    clock.pass(PromptMemory.RENEWAL_MS);
-    memory.neededAt(clock.nowMs());
+    clock.advance(PromptMemory.MIN_RENEWAL_MS);
+    memory.renewOnEvidence(clock.nowMs());
     orders.loseNext();
     orders.grantAll();
-    clock.pass(300);
+    clock.advance(300);
     assertEquals(
-        new PromptMemory.Usage(List.of("e-1", "e-2"), PromptMemory.RENEWAL_MS + 300, 300, 4, 1),
+        new PromptMemory.Usage(List.of("e-1", "e-2"), PromptMemory.MIN_RENEWAL_MS + 300, 300, 4, 1),
         memory.usage());
   }
 
@@ -300,7 +301,7 @@
     PromptMemory memory = held(helper("e-1", 10), helper("e-2", 10));
     orders.used = orders.tickets;
     for (int i = 0; i < 3; i++) {
-      assertTrue(memory.stillUsed(IDLE).succeeded());
+      assertTrue(memory.checkStillUsed(IDLE).succeeded());
     }
     assertEquals(List.of("e-1", "e-2", "e-1"), orders.questioned);
   }
@@ -308,24 +309,24 @@
   @Test
   void memoryThatNobodyUsesIsNoEvidence() {
     PromptMemory memory = held(helper("e-1", 10));
-    assertInstanceOf(MemoryUnusedException.class, memory.stillUsed(IDLE).cause());
+    assertInstanceOf(MemoryUnusedException.class, memory.checkStillUsed(IDLE).cause());
   }
 
   @Test
   void nobodyIsAskedWithoutMemoryOrAfterItsEnd() {
-    assertTrue(memory(1, helper("e-1", 0)).stillUsed(IDLE).succeeded());
+    assertTrue(memory(1, helper("e-1", 0)).checkStillUsed(IDLE).succeeded());
     PromptMemory memory = held(helper("e-1", 10));
-    memory.free();
-    assertTrue(memory.stillUsed(IDLE).succeeded());
+    memory.release();
+    assertTrue(memory.checkStillUsed(IDLE).succeeded());
     assertTrue(orders.questioned.isEmpty());
   }
 
   @Test
   void aRenewalThatIsLostAfterTheEndIsNotTriedAgain() {
     PromptMemory memory = held(helper("e-1", 10));
-    clock.pass(PromptMemory.RENEWAL_MS);
-    memory.neededAt(clock.nowMs());
-    memory.free();
+    clock.advance(PromptMemory.MIN_RENEWAL_MS);
+    memory.renewOnEvidence(clock.nowMs());
+    memory.release();
     orders.loseNext();
     assertTrue(orders.asked.isEmpty());
     assertEquals(List.of("e-1"), orders.released);
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDrainTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDrainTest.java
@@ -75,7 +75,7 @@
   private final HttpClientAgent client = vertx.createHttpClient();
 
   private final CountDownLatch heldUp = new CountDownLatch(1);
-  private final CompletableFuture<RelayServer.Incoming> taken = new CompletableFuture<>();
+  private final CompletableFuture<RelayServer.IncomingRequest> taken = new CompletableFuture<>();
   private final RelayBounds bounds =
       new RelayBounds(false, 5_000, 2_000, 8_000, 0.2, 100, 10_000, 120);
   private final AwakeTimes awake = new AwakeTimes(AWAKE_LOOK_MS);
@@ -144,7 +144,13 @@
             Policies.engineModel(new NoRetries(), () -> false, Set::of));
     decisions =
         new RelayDuty(
-            coordinator, clock, decision -> {}, news -> {}, new UntoldFleet(), endpoint -> {}, log);
+            coordinator,
+            clock,
+            decision -> {},
+            news -> {},
+            new NoOpEndpointEventPublisher(),
+            endpoint -> {},
+            log);
     decisions.start();
     try (ServerSocket free = new ServerSocket(0)) {
       address = new HostAddress("127.0.0.1", free.getLocalPort());
@@ -176,7 +182,7 @@
   private void holdUp() throws Exception {
     CompletableFuture<Void> held = new CompletableFuture<>();
     decisions.offer(
-        new RelayEvent.WorkWanted(
+        new RelayEvent.WorkRequested(
             work -> {
               held.complete(null);
               try {
@@ -224,11 +230,11 @@
 
   @Test
   void theHostEndsOnlyAfterItsEndWasDecided() throws Exception {
-    CompletableFuture<Void> done = drain.begin();
+    CompletableFuture<Void> done = drain.start();
     holdUp();
     atMs(OVER_MS);
     letTimersFire();
-    assertEquals(1, decisions.ringFill(), "the end waits for the decisions");
+    assertEquals(1, decisions.queuedEvents(), "the end waits for the decisions");
     assertFalse(done.isDone(), "the host ends though nothing was decided about what is open");
     heldUp.countDown();
     soon(done);
@@ -245,7 +251,7 @@
     soon(taken);
     awake.looked(nowMs);
     nowMs += STILL_MS;
-    CompletableFuture<Void> done = drain.begin();
+    CompletableFuture<Void> done = drain.start();
     atMs(GONE_MS);
     soon(done);
   }
@@ -254,8 +260,8 @@
   void theHostEndsOnlyAfterTheAnswersLeft() throws Exception {
     soon(callers.listen());
     Future<HttpClientResponse> answer = ask();
-    RelayServer.Incoming request = soon(taken);
-    CompletableFuture<Void> done = drain.begin();
+    RelayServer.IncomingRequest request = soon(taken);
+    CompletableFuture<Void> done = drain.start();
     atMs(OVER_MS);
     letTimersFire();
     assertFalse(done.isDone(), "the host ends though a caller has no answer");
@@ -266,7 +272,7 @@
 
   /** Has a caller connect before it is decided about what is open, when nothing is. */
   private void connectBeforeDecided(RelayEvent event, CompletableFuture<NetSocket> caller) {
-    if (event instanceof RelayEvent.Ending) {
+    if (event instanceof RelayEvent.DrainEnding) {
       vertx
           .createNetClient()
           .connect(address.port(), address.ip())
@@ -293,13 +299,13 @@
     drain =
         new RelayDrain(vertx, callers, decisions, orders, () -> bounds, awake, () -> nowMs, log);
     soon(callers.listen());
-    CompletableFuture<Void> done = drain.begin();
+    CompletableFuture<Void> done = drain.start();
     atMs(RESTING_CLOSE_MS + 1);
     NetSocket socket = soon(caller);
     letTimersFire();
     assertFalse(done.isDone(), "the host ends though a request may be about to come");
     socket.write("GET / HTTP/1.1\r\nhost: h\r\n\r\n");
-    RelayServer.Incoming request = soon(taken);
+    RelayServer.IncomingRequest request = soon(taken);
     atMs(OVER_MS);
     letTimersFire();
     assertFalse(done.isDone(), "the host ends though it read a request and gave no answer");
@@ -310,7 +316,7 @@
   @Test
   void aConnectionThatWasJustOpenedIsNotClosedBeforeItsRequestCanCome() throws Exception {
     soon(callers.listen());
-    CompletableFuture<Void> done = drain.begin();
+    CompletableFuture<Void> done = drain.start();
     atMs(RESTING_CLOSE_MS);
     CompletableFuture<Void> closed = new CompletableFuture<>();
     soon(vertx.createNetClient().connect(address.port(), address.ip()))
@@ -330,7 +336,7 @@
     soon(callers.listen());
     ask();
     soon(taken);
-    CompletableFuture<Void> done = drain.begin();
+    CompletableFuture<Void> done = drain.start();
     holdUp();
     atMs(GONE_MS);
     soon(done);
@@ -343,6 +349,6 @@
         new RelayDrain(
             vertx, callers, decisions, decisions::offer, () -> shortest, awake, () -> nowMs, log);
     holdUp();
-    soon(drain.begin());
+    soon(drain.start());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDutyTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDutyTest.java
@@ -55,7 +55,7 @@
           () -> 1_000,
           decision -> {},
           news -> {},
-          new UntoldFleet(),
+          new NoOpEndpointEventPublisher(),
           endpoint -> {},
           new HostLog("test"));
 
@@ -123,7 +123,8 @@
             new HostAddress("127.0.0.1", 9_000),
             Set.of(entryNames),
             0);
-    duty.offer(new RelayEvent.Listed(new HostListing(1, List.of(engine), Set.of(), List.of())));
+    duty.offer(
+        new RelayEvent.ListingChanged(new HostListing(1, List.of(engine), Set.of(), List.of())));
   }
 
   private void ask() {
@@ -139,7 +140,7 @@
             true,
             List.of(),
             AIMS);
-    duty.arrived(new RelayEvent.Arrived(facts), new Caller());
+    duty.offerRequest(new RelayEvent.RequestArrived(facts), new Caller());
   }
 
   private String next() throws InterruptedException {
@@ -156,7 +157,7 @@
     HostIdentity other = new HostIdentity("host-2", 1);
     FleetReport report =
         new FleetReport(other, Optional.empty(), 1, "", false, List.of(new EngineNews.Placed(job)));
-    duty.offer(new RelayEvent.Told(List.of(report)));
+    duty.offer(new RelayEvent.ReportsReceived(List.of(report)));
     assertEquals("cancel", next());
     assertEquals("send to e-1#2", next());
   }
@@ -166,7 +167,7 @@
     begin("pool", "pool");
     ask();
     assertEquals("send to e-1#1", next());
-    duty.offer(new RelayEvent.Restarted(new HostIdentity("e-1", 2)));
+    duty.offer(new RelayEvent.EndpointRestarted(new HostIdentity("e-1", 2)));
     assertEquals("cancel", next());
     assertEquals("send to e-1#2", next());
   }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/ReportBufferTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/ReportBufferTest.java
@@ -23,15 +23,15 @@
   @Test
   void wholeReportsWaitForTheNextSignOfLife() {
     buffer.drain(1_000);
-    buffer.gather(List.of(report(1, true)), 1_010);
+    buffer.add(List.of(report(1, true)), 1_010);
     assertEquals(1_300, buffer.dueMs(2));
   }
 
   @Test
   void changesArePassedOnSoonAndLaterToManyReceivers() {
     buffer.drain(1_000);
-    buffer.gather(List.of(report(1, false)), 1_020);
-    buffer.gather(List.of(report(2, false)), 1_025);
+    buffer.add(List.of(report(1, false)), 1_020);
+    buffer.add(List.of(report(2, false)), 1_025);
     assertEquals(1_030, buffer.dueMs(2));
     assertEquals(1_040, buffer.dueMs(25));
     assertEquals(1_300, buffer.dueMs(1_000));
@@ -39,7 +39,7 @@
 
   @Test
   void drainingEmptiesInOrder() {
-    buffer.gather(List.of(report(1, true), report(2, false)), 1_000);
+    buffer.add(List.of(report(1, true), report(2, false)), 1_000);
     assertEquals(List.of(report(1, true), report(2, false)), buffer.drain(1_010));
     assertEquals(List.of(), buffer.drain(1_020));
     assertEquals(1_320, buffer.dueMs(2));
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/StallWatchTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/StallWatchTest.java
@@ -32,7 +32,7 @@
 
   @Test
   void whereSilenceSaysNothingTheEngineIsAsked() {
-    assertTrue(StallWatch.mayBeLong(new RequestAims(2_500, 1_000, 2)));
-    assertFalse(StallWatch.mayBeLong(new RequestAims(300, 250, 2)));
+    assertTrue(StallWatch.isFirstEventUnlimited(new RequestAims(2_500, 1_000, 2)));
+    assertFalse(StallWatch.isFirstEventUnlimited(new RequestAims(300, 250, 2)));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/TopicFollowerTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/TopicFollowerTest.java
@@ -70,20 +70,20 @@
     TopicFollower.Reader reader =
         new TopicFollower.Reader() {
           @Override
-          public StorePosition readTo() {
+          public StorePosition knownEnd() {
             return toldTo;
           }
 
           @Override
-          public void regained() {}
+          public void storeAvailable() {}
 
           @Override
-          public void whole(KeyedPage page, long askedMs) {
+          public void applySnapshot(KeyedPage page, long askedMs) {
             whole.add(askedMs);
           }
 
           @Override
-          public void changes(KeyedPage page, long provedMs) {
+          public void applyChanges(KeyedPage page, long provedMs) {
             proved.add(provedMs);
           }
         };
@@ -91,8 +91,8 @@
             vertx,
             questions,
             KeyedLog.Topic.OPERATORS,
-            new TopicFollower.Pace(1_500, 0),
-            new ReadingShare(() -> speaks, () -> ageMs, () -> OLDEST_MS),
+            new TopicFollower.Timing(1_500, 0),
+            new LogReadSchedule(() -> speaks, () -> ageMs, () -> OLDEST_MS),
             reader,
             () -> nowMs,
             new HostLog("test"))
