--- a/org.fawndrum/src/org/fawndrum/transport/relay/CallContent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/CallContent.java
@@ -61,7 +61,7 @@
     try {
       return MessageDigest.getInstance(HASH);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has " + HASH, e);
+      throw new IllegalStateException("not supported by this Java platform: " + HASH, e);
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointEventPublisher.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointEventPublisher.java
@@ -9,7 +9,7 @@
 /** Sends this host's findings about endpoints to other daemons. Never blocks. */
 interface EndpointEventPublisher {
   /** Sends endpoint crashes to all daemons. */
-  void publishCrashes(CrashNews news);
+  void publishCrashes(CrashNews crashes);
 
   /** Sends all endpoint crashes known here to one daemon. */
   void sendAllCrashes(HostAddress to, CrashNews all);
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointReader.java
@@ -307,7 +307,7 @@
     keysWithoutStart = findKeysWithoutStart();
     keysWithoutStart.stream()
         .filter(key -> !previous.contains(key))
-        .forEach(key -> logUnusable(records.get(key), "the time of its start"));
+        .forEach(key -> logUnusable(records.get(key), "start time missing"));
     List<Endpoint> endpoints = new ArrayList<>();
     Set<HostIdentity> leaving = new HashSet<>();
     for (RelayDecoder.EndpointEntry entry : entries.values()) {
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
@@ -48,26 +48,26 @@
     }
   }
 
-  private void received(FleetNews news) {
+  private void received(FleetNews message) {
     long nowMs = clock.nowMs();
-    FleetMember sender = FleetCodec.read(news.getSender());
+    FleetMember sender = FleetCodec.read(message.getSender());
     List<FleetReport> reports =
-        news.getReportsList().stream().map(report -> FleetCodec.read(report, nowMs)).toList();
-    List<FleetMember> known = news.getKnownList().stream().map(FleetCodec::read).toList();
+        message.getReportsList().stream().map(report -> FleetCodec.read(report, nowMs)).toList();
+    List<FleetMember> known = message.getKnownList().stream().map(FleetCodec::read).toList();
     PeerCrashReport crashes =
         new PeerCrashReport(
             sender.address(),
-            CrashCodec.read(news.getCrashes(), nowMs),
-            news.getCrashes().getWhole(),
-            news.getCrashSummary());
-    List<HostIdentity> shuttingDown = FleetCodec.readEndpoints(news.getLeavingList());
+            CrashCodec.read(message.getCrashes(), nowMs),
+            message.getCrashes().getWhole(),
+            message.getCrashSummary());
+    List<HostIdentity> shuttingDown = FleetCodec.readEndpoints(message.getLeavingList());
     fleet.accept(
         new FleetEvent.MessageReceived(
-            sender, news.getSubscribes(), reports, known, crashes, shuttingDown));
+            sender, message.getSubscribes(), reports, known, crashes, shuttingDown));
     storeSync.peerUpdated(
         sender,
         new StorePositions(
-            news.getConfigurationRevision(),
-            new StorePosition(news.getEndpointsEra(), news.getEndpointsChanged())));
+            message.getConfigurationRevision(),
+            new StorePosition(message.getEndpointsEra(), message.getEndpointsChanged())));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/MemoryUseTracker.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/MemoryUseTracker.java
@@ -13,11 +13,11 @@
    */
   static final long MAX_UNUSED_MS = 6_500;
 
-  private boolean recordStart;
+  private boolean started;
 
   /** Records that the execution of the request has started. */
   void recordStart() {
-    recordStart = true;
+    started = true;
   }
 
   /**
@@ -33,12 +33,12 @@
       return true;
     }
     if (helper.usedMemory().contains(ticket)) {
-      recordStart = true;
+      started = true;
       return true;
     }
     // Memory that was in use and no longer is belongs to a completed request. A request that has
     // not started must be waiting somewhere.
     boolean mayBeWaiting = !requestEngine.told() || requestEngine.waiting() > 0;
-    return !recordStart && mayBeWaiting && heldMs < MAX_UNUSED_MS;
+    return !started && mayBeWaiting && heldMs < MAX_UNUSED_MS;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PeerPositions.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PeerPositions.java
@@ -69,7 +69,7 @@
   }
 
   /** Records that the reply to a query was applied. */
-  void replyApplied(HostAddress peer, Query question) {
-    appliedPositions.put(peer, question.reported());
+  void replyApplied(HostAddress peer, Query query) {
+    appliedPositions.put(peer, query.reported());
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PeerStoreSync.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PeerStoreSync.java
@@ -51,7 +51,7 @@
   private final HostLog log;
   private final Set<HostAddress> pendingPeers = new HashSet<>();
   private final PeerPositions peerPositions = new PeerPositions();
-  private volatile Context loop;
+  private volatile Context eventLoop;
 
   PeerStoreSync(
       HostIdentity self,
@@ -78,7 +78,7 @@
    * @param drainMs the drain limit, in milliseconds
    */
   void start(Vertx vertx, long drainMs) {
-    loop = vertx.getOrCreateContext();
+    eventLoop = vertx.getOrCreateContext();
     vertx.setPeriodic(Math.max(1, Math.round(drainMs * POLL_FRACTION)), id -> poll());
   }
 
@@ -89,9 +89,9 @@
     }
     long nowMs = clock.nowMs();
     boolean stale = routes.ageMs(nowMs) > MAX_AGE_MS || endpoints.ageMs(nowMs) > MAX_AGE_MS;
-    List<HostAddress> known = fleet.livePeers();
-    if (stale && !known.isEmpty()) {
-      query(known.get(ThreadLocalRandom.current().nextInt(known.size())));
+    List<HostAddress> peers = fleet.livePeers();
+    if (stale && !peers.isEmpty()) {
+      query(peers.get(ThreadLocalRandom.current().nextInt(peers.size())));
     }
   }
 
@@ -101,9 +101,9 @@
         peerPositions.positionReported(peer, positions.endpointsChanged(), endpoints.knownEnd());
     boolean newer =
         endpointsChanged || positions.configurationRevision() > routes.table().revision();
-    Context on = loop;
-    if (newer && on != null) {
-      on.runOnContext(v -> query(peer.address()));
+    Context context = eventLoop;
+    if (newer && context != null) {
+      context.runOnContext(v -> query(peer.address()));
     }
   }
 
@@ -124,7 +124,7 @@
         .ask(peer, PeerCodec.from(self).setKnowledgeRequest(request))
         .whenComplete(
             (reply, failure) ->
-                loop.runOnContext(v -> replyReceived(peer, query, queriedMs, reply, failure)));
+                eventLoop.runOnContext(v -> replyReceived(peer, query, queriedMs, reply, failure)));
   }
 
   private void replyReceived(
@@ -182,8 +182,8 @@
     long nowMs = clock.nowMs();
     long ageMs = routes.ageMs(nowMs);
     StorePosition end = endpoints.knownEnd();
-    StorePosition known = new StorePosition(request.getEndpointsEra(), request.getEndpointsEnd());
-    boolean unchanged = end.era() == known.era() && !endpoints.lastChange().isAfter(known);
+    StorePosition peers = new StorePosition(request.getEndpointsEra(), request.getEndpointsEnd());
+    boolean unchanged = end.era() == peers.era() && !endpoints.lastChange().isAfter(peers);
     KnowledgeReply.Builder reply =
         KnowledgeReply.newBuilder()
             .setConfigurationAgeMs(ageMs)
@@ -197,9 +197,9 @@
       reply.setConfiguration(record(newest));
     }
     if (!unchanged) {
-      Optional<List<KeyedRecord>> changes = endpoints.changesSince(known);
+      Optional<List<KeyedRecord>> changes = endpoints.changesSince(peers);
       reply.setEndpointsChangesOnly(changes.isPresent());
-      changes.orElseGet(endpoints::records).forEach(one -> reply.addEndpoints(record(one)));
+      changes.orElseGet(endpoints::records).forEach(changed -> reply.addEndpoints(record(changed)));
     }
     return PeerCodec.from(self).setKnowledgeReply(reply);
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
@@ -185,14 +185,14 @@
   private String summary() {
     String decisionSummary =
         decisions.rejectedRequests()
-            + " requests turned away, "
+            + " requests rejected, "
             + decisions.abortedRequests()
-            + " given up, at most "
+            + " aborted, maximum delay "
             + maxDelayMs
-            + " ms late";
+            + " ms";
     int unanswered = callers.busyConnections();
     return unanswered == 0
         ? decisionSummary
-        : decisionSummary + ", " + unanswered + " cut without an answer";
+        : decisionSummary + ", " + unanswered + " cut off without an answer";
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
@@ -158,14 +158,14 @@
 
   private void handle(RelayEvent event) {
     long nowMs = clock.nowMs();
-    if (event instanceof RelayEvent.RequestEvent ofRequest) {
-      handle(ofRequest, nowMs);
-    } else if (event instanceof RelayEvent.PeerEvent ofDaemon) {
-      handle(ofDaemon, nowMs);
-    } else if (event instanceof RelayEvent.EndpointEvent ofEndpoints) {
-      handle(ofEndpoints, nowMs);
-    } else if (event instanceof RelayEvent.LifecycleEvent ofHost) {
-      handle(ofHost, nowMs);
+    if (event instanceof RelayEvent.RequestEvent requestEvent) {
+      handle(requestEvent, nowMs);
+    } else if (event instanceof RelayEvent.PeerEvent peerEvent) {
+      handle(peerEvent, nowMs);
+    } else if (event instanceof RelayEvent.EndpointEvent endpointEvent) {
+      handle(endpointEvent, nowMs);
+    } else if (event instanceof RelayEvent.LifecycleEvent lifecycleEvent) {
+      handle(lifecycleEvent, nowMs);
     }
     publishState();
   }
@@ -180,13 +180,13 @@
   private void handle(RelayEvent.RequestEvent event, long nowMs) {
     if (event instanceof RelayEvent.RequestArrived arrived) {
       carryOut(coordinator.arrive(arrived.facts(), nowMs));
-    } else if (event instanceof RelayEvent.AttemptChanged attempted) {
-      carryOut(coordinator.attempt(attempted.attempt(), attempted.event(), nowMs));
-      if (!coordinator.isOpen(attempted.attempt().requestId())) {
-        exchanges.remove(attempted.attempt().requestId());
+    } else if (event instanceof RelayEvent.AttemptChanged changed) {
+      carryOut(coordinator.attempt(changed.attempt(), changed.event(), nowMs));
+      if (!coordinator.isOpen(changed.attempt().requestId())) {
+        exchanges.remove(changed.attempt().requestId());
       }
-    } else if (event instanceof RelayEvent.EndpointCrashed ended) {
-      carryOut(coordinator.endpointEnded(ended.attempt(), nowMs));
+    } else if (event instanceof RelayEvent.EndpointCrashed crashed) {
+      carryOut(coordinator.endpointEnded(crashed.attempt(), nowMs));
     } else if (event instanceof RelayEvent.HelperRefused refused) {
       carryOut(coordinator.helperRefused(refused.attempt(), refused.helper(), nowMs));
     } else if (event instanceof RelayEvent.CallerGone gone) {
@@ -200,12 +200,12 @@
       carryOut(coordinator.told(reported.reports(), nowMs));
     } else if (event instanceof RelayEvent.DaemonGone gone) {
       carryOut(coordinator.daemonGone(gone.daemon(), nowMs));
-    } else if (event instanceof RelayEvent.WorkRequested wanted) {
-      wanted.reply().accept(coordinator.work());
+    } else if (event instanceof RelayEvent.WorkRequested requested) {
+      requested.reply().accept(coordinator.work());
     } else if (event instanceof RelayEvent.CrashesReceived reported) {
       mergeCrashes(reported.report(), nowMs);
-    } else if (event instanceof RelayEvent.CrashesRequested wanted) {
-      publisher.sendAllCrashes(wanted.daemon(), coordinator.suspects().all());
+    } else if (event instanceof RelayEvent.CrashesRequested requested) {
+      publisher.sendAllCrashes(requested.daemon(), coordinator.suspects().all());
     }
   }
 
@@ -214,7 +214,7 @@
    * this host, all crashes are sent.
    */
   private void mergeCrashes(PeerCrashReport reported, long nowMs) {
-    carryOut(coordinator.suspects(one -> one.heard(reported.crashes(), nowMs), nowMs));
+    carryOut(coordinator.suspects(suspects -> suspects.heard(reported.crashes(), nowMs), nowMs));
     if (reported.complete() && reported.summary() != coordinator.suspects().summary()) {
       publisher.publishCrashes(coordinator.suspects().all());
     }
@@ -227,9 +227,9 @@
   private void detectRestarts(List<FleetReport> reports, long nowMs) {
     boolean restarted = false;
     for (FleetReport report : reports) {
-      for (EngineNews one : report.news()) {
+      for (EngineNews update : report.news()) {
         restarted |=
-            one instanceof EngineNews.Placed placed
+            update instanceof EngineNews.Placed placed
                 && endpointRoster.startedAgain(placed.job().endpoint());
       }
     }
@@ -271,34 +271,35 @@
     List<HostIdentity> newlyReported =
         event.endpoints().stream().filter(endpointRoster::saidLeavingInAnswer).toList();
     if (!newlyReported.isEmpty()) {
-      newlyReported.forEach(one -> log.event(LogEvent.ENDPOINT_LEAVES, one, event.by()));
+      newlyReported.forEach(endpoint -> log.event(LogEvent.ENDPOINT_LEAVES, endpoint, event.by()));
       passEndpoints(nowMs);
       publisher.publishShutdowns(newlyReported);
     }
   }
 
   private void handle(RelayEvent.LifecycleEvent event, long nowMs) {
-    if (event instanceof RelayEvent.RequestReleased letGo) {
-      log.event(LogEvent.REQUEST_LET_GO, letGo.fingerprint());
-      carryOut(coordinator.suspects(one -> one.letGo(letGo.fingerprint(), nowMs), nowMs));
-    } else if (event instanceof RelayEvent.StopSignaled ordered) {
-      coordinator.stop(ordered.window());
-    } else if (event instanceof RelayEvent.DrainEnding end) {
+    if (event instanceof RelayEvent.RequestReleased released) {
+      log.event(LogEvent.REQUEST_LET_GO, released.fingerprint());
+      carryOut(
+          coordinator.suspects(suspects -> suspects.letGo(released.fingerprint(), nowMs), nowMs));
+    } else if (event instanceof RelayEvent.StopSignaled signaled) {
+      coordinator.stop(signaled.window());
+    } else if (event instanceof RelayEvent.DrainEnding ending) {
       abortedRequests = coordinator.open();
       aborting = true;
       carryOut(coordinator.giveUpAll(nowMs));
       aborting = false;
-      end.onAborted().run();
+      ending.onAborted().run();
     }
   }
 
   /** Passes the endpoints to the coordinator, with the profiles of their services. */
   private void passEndpoints(long nowMs) {
-    List<Endpoint> known =
+    List<Endpoint> endpoints =
         endpointRoster.open().stream().map(this::withProfile).flatMap(Optional::stream).toList();
     drainingEndpoints = endpointRoster.listedLeaving();
     endpointRoster.takeUnclear().forEach(this::probe);
-    carryOut(coordinator.endpoints(known, nowMs));
+    carryOut(coordinator.endpoints(endpoints, nowMs));
     carryOut(coordinator.restarted(endpointRoster::isOver, nowMs));
   }
 
@@ -322,9 +323,9 @@
     for (Action action : actions) {
       if (action instanceof Action.Announce announce) {
         updates.accept(announce);
-      } else if (action instanceof Action.TellCrashes tell) {
-        publisher.publishCrashes(tell.news());
-        tell.news().refused().forEach(this::logRefused);
+      } else if (action instanceof Action.TellCrashes update) {
+        publisher.publishCrashes(update.news());
+        update.news().refused().forEach(this::logRefused);
       }
     }
     coordinator.suspects().takeFindings().forEach(this::logFinding);
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayRuntime.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayRuntime.java
@@ -144,7 +144,7 @@
   }
 
   private StorePositions storePositions() {
-    return store.view();
+    return store.positions();
   }
 
   private int otherDaemons() {
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayServer.java
@@ -37,7 +37,7 @@
   private static final int MAX_HEADER_BYTES = 65_536;
 
   /** Idle timeout of a connection after its answer while the host is draining, in milliseconds. */
-  private static final long STOPPING_IDLE_MS = 100;
+  private static final long DRAINING_IDLE_MS = 100;
 
   /**
    * How long a connection without any request stays open while the host is draining, in
@@ -116,7 +116,7 @@
     this.hasState = hasState;
     this.idleConnections =
         new IdleConnections(
-            vertx, () -> limits().idleMs(), () -> draining ? STOPPING_IDLE_MS : limits().idleMs());
+            vertx, () -> limits().idleMs(), () -> draining ? DRAINING_IDLE_MS : limits().idleMs());
   }
 
   private CallerLimits limits() {
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RetryShare.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RetryShare.java
@@ -21,7 +21,7 @@
    * Maximum number of these retries that a host uses before a message of any other daemon arrived:
    * many daemons may have just started.
    */
-  private static final double MAX_RESERVE_WITHOUT_PEERS = 1;
+  private static final double MAX_ALLOWANCE_WITHOUT_PEERS = 1;
 
   /** Assumed number of daemons per known daemon: some are disconnected or just starting. */
   private static final double DAEMONS_PER_KNOWN = 1.3;
@@ -55,6 +55,6 @@
     double assumedDaemons = Math.ceil((knownPeers + 1) * DAEMONS_PER_KNOWN);
     double share = bounds.retrySlack() * USED_FRACTION / Math.max(MIN_DAEMONS, assumedDaemons);
     boolean withoutPeers = knownPeers == 0 && hasSeeds.getAsBoolean();
-    return withoutPeers ? Math.min(MAX_RESERVE_WITHOUT_PEERS, share) : share;
+    return withoutPeers ? Math.min(MAX_ALLOWANCE_WITHOUT_PEERS, share) : share;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ShutdownNotices.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ShutdownNotices.java
@@ -14,24 +14,24 @@
  */
 final class ShutdownNotices {
   /** How long a shutdown is announced, in milliseconds: five heartbeats. */
-  private static final long TOLD_MS = 5_000;
+  private static final long ANNOUNCE_MS = 5_000;
 
   /**
    * Maximum number of endpoints in a message, about 20 bytes each; the latest ones are included.
    */
-  private static final int MOST_TOLD = 64;
+  private static final int MAX_ANNOUNCED = 64;
 
-  private final Map<HostIdentity, Long> learnedMs = new LinkedHashMap<>();
+  private final Map<HostIdentity, Long> addedMs = new LinkedHashMap<>();
 
   /** Adds endpoints that are newly known to be shutting down. */
   void add(List<HostIdentity> endpoints, long nowMs) {
-    endpoints.forEach(one -> learnedMs.put(one, nowMs));
+    endpoints.forEach(endpoint -> addedMs.put(endpoint, nowMs));
   }
 
   /** Returns the endpoints to announce in a message sent now. */
   List<HostIdentity> current(long nowMs) {
-    learnedMs.values().removeIf(atMs -> nowMs - atMs > TOLD_MS);
-    int beyond = Math.max(0, learnedMs.size() - MOST_TOLD);
-    return learnedMs.keySet().stream().skip(beyond).toList();
+    addedMs.values().removeIf(atMs -> nowMs - atMs > ANNOUNCE_MS);
+    int excess = Math.max(0, addedMs.size() - MAX_ANNOUNCED);
+    return addedMs.keySet().stream().skip(excess).toList();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/StoreReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/StoreReader.java
@@ -127,7 +127,7 @@
   }
 
   /** Returns the store positions that this host has read, to be sent to peers. */
-  StorePositions view() {
+  StorePositions positions() {
     return new StorePositions(routes.table().revision(), endpoints.lastChange());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/ConfigurationTrustTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/ConfigurationFreshnessTest.java
@@ -7,35 +7,35 @@
 import org.fawndrum.transport.HostClock;
 import org.junit.jupiter.api.Test;
 
-/** For what an old configuration is still good, with keys that need proof and without. */
-class ConfigurationTrustTest {
-  private static final long NEVER_PROVEN_MS = -HostClock.NEVER_MS;
+/** What an outdated configuration may be used for, with keys that need proof and without. */
+class ConfigurationFreshnessTest {
+  private static final long NEVER_CONFIRMED_AGE_MS = -HostClock.NEVER_MS;
 
   private static RelayBounds bounds(boolean keysNeedProof) {
     return new RelayBounds(keysNeedProof, 5_000, 2_000, 8_000, 0.2, 100, 10_000, 120);
   }
 
   @Test
-  void keysThatNeedProofEndBeforeTheBound() {
+  void keysThatNeedProofAreRejectedBeforeTheLimit() {
     assertTrue(ConfigurationFreshness.acceptsKeys(bounds(true), 4_500));
     assertFalse(ConfigurationFreshness.acceptsKeys(bounds(true), 4_700));
-    assertFalse(ConfigurationFreshness.acceptsKeys(bounds(true), NEVER_PROVEN_MS));
+    assertFalse(ConfigurationFreshness.acceptsKeys(bounds(true), NEVER_CONFIRMED_AGE_MS));
   }
 
   @Test
-  void keysThatNeedNoneGoOnWithTheLastConfiguration() {
+  void keysThatNeedNoProofStayValid() {
     assertTrue(ConfigurationFreshness.acceptsKeys(bounds(false), 60_000));
-    assertTrue(ConfigurationFreshness.acceptsKeys(bounds(false), NEVER_PROVEN_MS));
+    assertTrue(ConfigurationFreshness.acceptsKeys(bounds(false), NEVER_CONFIRMED_AGE_MS));
   }
 
   @Test
-  void callersStayAwayFromAHostWithoutProof() {
+  void hostWithoutProofAcceptsNoCallers() {
     assertTrue(ConfigurationFreshness.acceptsCallers(bounds(true), 4_900, true));
     assertFalse(ConfigurationFreshness.acceptsCallers(bounds(true), 5_100, false));
   }
 
   @Test
-  void withoutNeedOfProofOnlyACutOffHostLosesItsCallers() {
+  void withoutKeyProofOnlyADisconnectedHostAcceptsNoCallers() {
     assertTrue(ConfigurationFreshness.acceptsCallers(bounds(false), 60_000, false));
     assertFalse(ConfigurationFreshness.acceptsCallers(bounds(false), 60_000, true));
     assertTrue(ConfigurationFreshness.acceptsCallers(bounds(false), 1_000, true));
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointConnectionsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointConnectionsTest.java
@@ -16,26 +16,29 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections that are kept to an endpoint are those to its present start. */
+/** Pooled connections to an endpoint are those to its current incarnation. */
 class EndpointConnectionsTest {
-  private static final long PATIENCE_S = 20;
+  private static final long TIMEOUT_S = 20;
 
-  /** A connection is kept only a moment after its answer has come; so many moments are enough. */
-  private static final int MOST_ASKED = 1_000;
+  /**
+   * The client pools a connection only shortly after its answer arrived; this many requests
+   * suffice.
+   */
+  private static final int MAX_REQUESTS = 1_000;
 
   private final Vertx vertx = Vertx.vertx();
   private final AtomicInteger connections = new AtomicInteger();
 
   @AfterEach
   void close() throws Exception {
-    soon(vertx.close());
+    await(vertx.close());
   }
 
-  private static <T> T soon(Future<T> future) throws Exception {
-    return future.toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+  private static <T> T await(Future<T> future) throws Exception {
+    return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
-  private static Endpoint start(int port, long incarnation) {
+  private static Endpoint endpoint(int port, long incarnation) {
     return new Endpoint(
         new HostIdentity("i-1", incarnation),
         "zone-a",
@@ -46,35 +49,39 @@
   }
 
   @Test
-  void aConnectionToAnEarlierStartIsNotUsedAgain() throws Exception {
+  void connectionToAPreviousIncarnationIsNotReused() throws Exception {
     int port =
-        soon(vertx
-                .createHttpServer()
-                .connectionHandler(connection -> connections.incrementAndGet())
-                .requestHandler(request -> request.response().end(request.getHeader("Host")))
-                .listen(0, "127.0.0.1"))
+        await(
+                vertx
+                    .createHttpServer()
+                    .connectionHandler(connection -> connections.incrementAndGet())
+                    .requestHandler(request -> request.response().end(request.getHeader("Host")))
+                    .listen(0, "127.0.0.1"))
             .actualPort();
     EndpointClient client = new EndpointClient(vertx);
-    assertEquals("desk.example", ask(client, start(port, 1)));
-    int before = untilOneIsUsedAgain(client, start(port, 1));
-    ask(client, start(port, 2));
-    assertEquals(before + 1, connections.get(), "one of the earlier start");
+    assertEquals("desk.example", sendRequest(client, endpoint(port, 1)));
+    int before = untilConnectionIsReused(client, endpoint(port, 1));
+    sendRequest(client, endpoint(port, 2));
+    assertEquals(before + 1, connections.get(), "reused a connection to the previous incarnation");
   }
 
-  /** Asks until a kept connection serves, and returns how many were opened until then. */
-  private int untilOneIsUsedAgain(EndpointClient client, Endpoint endpoint) throws Exception {
-    for (int i = 0; i < MOST_ASKED; i++) {
+  /**
+   * Sends requests until a pooled connection is reused, and returns how many were opened until
+   * then.
+   */
+  private int untilConnectionIsReused(EndpointClient client, Endpoint endpoint) throws Exception {
+    for (int i = 0; i < MAX_REQUESTS; i++) {
       int before = connections.get();
-      ask(client, endpoint);
+      sendRequest(client, endpoint);
       if (connections.get() == before) {
         return before;
       }
     }
-    throw new AssertionError("no connection is kept");
+    throw new AssertionError("no connection is pooled");
   }
 
-  private static String ask(EndpointClient client, Endpoint endpoint) throws Exception {
-    return soon(
+  private static String sendRequest(EndpointClient client, Endpoint endpoint) throws Exception {
+    return await(
         client
             .request(endpoint, HttpMethod.GET, "/", true)
             .compose(request -> request.putHeader("Host", "desk.example").send())
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointReaderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointReaderTest.java
@@ -21,19 +21,19 @@
 import org.fawndrum.state.RouteTable;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are listed while their records come and go. */
+/** Which endpoints are listed while their records are added and removed. */
 class EndpointReaderTest {
   private static final byte[] READY = {'r'};
   private static final byte[] LEAVING = {'l'};
-  private static final byte[] NONE = {};
+  private static final byte[] EMPTY = {};
 
   private long nowMs = 1_000;
   private HostListing listing = HostListing.NONE;
-  private Runnable whenDecoded = () -> {};
+  private Runnable onDecode = () -> {};
   private final EndpointReader reader =
       new EndpointReader(new Decoder(), newer -> listing = newer, () -> nowMs, new HostLog("test"));
 
-  /** Reads records of one letter. */
+  /** Decodes records of one letter. */
   private final class Decoder implements RelayDecoder {
     @Override
     public boolean isConfiguration(KeyedRecord record) {
@@ -47,7 +47,7 @@
 
     @Override
     public EndpointEntry endpoint(KeyedRecord record) {
-      whenDecoded.run();
+      onDecode.run();
       if (record.value()[0] == 'x') {
         throw new RecordUnreadableException(record.offset(), null);
       }
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void entriesAreListedInTheOrderOfTheirNames() {
+  void entriesAreListedByName() {
     reader.applySnapshot(page("b", READY, "a", READY), 0);
     reader.applyChanges(page("c", LEAVING), 0);
     assertEquals(List.of("a", "b", "c"), names());
@@ -85,18 +85,18 @@
   }
 
   @Test
-  void aDroppedEntryIsGoneAtOnce() {
+  void removedEntryIsUnlistedAtOnce() {
     reader.applySnapshot(page("a", READY, "b", READY), 0);
-    reader.applyChanges(page("a", NONE), 0);
+    reader.applyChanges(page("a", EMPTY), 0);
     assertEquals(List.of("b"), names());
   }
 
   @Test
-  void entriesThatLapsedInAnOutageHaveTwoSecondsToComeBack() {
+  void entriesThatExpiredInAnOutageAreKeptForTwoSeconds() {
     reader.applySnapshot(page("a", READY, "b", READY), 0);
     nowMs = 9_000;
     reader.storeAvailable();
-    reader.applyChanges(page("a", NONE, "b", NONE), 0);
+    reader.applyChanges(page("a", EMPTY, "b", EMPTY), 0);
     assertEquals(List.of("a", "b"), names());
     nowMs = 10_000;
     reader.applyChanges(page("a", READY), 0);
@@ -106,25 +106,25 @@
   }
 
   @Test
-  void oneThatLeftWhileOnlyThisHostCouldNotReadIsGoneAtOnce() {
+  void entryRemovedWhileOnlyThisHostCouldNotReadIsUnlistedAtOnce() {
     reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
     nowMs = 9_000;
     reader.storeAvailable();
     reader.applySnapshot(page("a", READY, "c", READY), 0);
     assertEquals(List.of("a", "c"), names());
-    reader.applyChanges(page("c", NONE), 0);
+    reader.applyChanges(page("c", EMPTY), 0);
     assertEquals(List.of("a"), names());
   }
 
   @Test
-  void afterACompactedHistoryOnlyWhatTheStoreHoldsIsListed() {
+  void afterCompactionOnlyStoredEntriesAreListed() {
     reader.applySnapshot(page("a", READY, "b", READY), 0);
     reader.applySnapshot(page("b", READY), 0);
     assertEquals(List.of("b"), names());
   }
 
   @Test
-  void anUnreadableRecordEndsItsEntryAndNoOther() {
+  void unreadableRecordInvalidatesOnlyItsOwnEntry() {
     reader.applySnapshot(page("a", READY, "b", READY), 0);
     reader.applyChanges(page("a", new byte[] {'x'}, "c", READY), 0);
     assertEquals(List.of("b", "c"), names());
@@ -135,32 +135,34 @@
   }
 
   @Test
-  void anUnreadableRecordEndsItsEntryAlsoWhileOthersMayComeBack() {
+  void unreadableRecordInvalidatesItsEntryDuringRecovery() {
     reader.applySnapshot(page("a", READY, "b", READY), 0);
     nowMs = 9_000;
     reader.storeAvailable();
-    reader.applyChanges(page("a", new byte[] {'x'}, "b", NONE), 0);
+    reader.applyChanges(page("a", new byte[] {'x'}, "b", EMPTY), 0);
     assertEquals(List.of("b"), names());
   }
 
   @Test
-  void hostsThatAskLearnThatAnEntryHasBecomeUnusable() {
+  void peersReceiveInvalidations() {
     reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
     long before = reader.lastChange().offset();
     reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(9, "a", new byte[] {'x'})), 10), 0);
-    assertTrue(reader.lastChange().offset() > before, "nothing to ask for");
-    List<HostListing> heard = new ArrayList<>();
-    EndpointReader asking =
-        new EndpointReader(new Decoder(), heard::add, () -> nowMs, new HostLog("test"));
-    asking.applySnapshot(page("a", READY, "b", NONE, "c", NONE), 0);
-    // The platform has just come back for it, so that what is merely missing is kept for a while.
-    asking.storeAvailable();
-    asking.applySnapshot(new KeyedPage(reader.records(), 10), 0);
-    assertEquals(List.of("b", "c"), heard.get(1).endpoints().stream().map(Endpoint::name).toList());
+    assertTrue(reader.lastChange().offset() > before, "no change to query");
+    List<HostListing> listings = new ArrayList<>();
+    EndpointReader peer =
+        new EndpointReader(new Decoder(), listings::add, () -> nowMs, new HostLog("test"));
+    peer.applySnapshot(page("a", READY, "b", EMPTY, "c", EMPTY), 0);
+    // The platform has just become available for it, so entries that are only missing are kept for
+    // a while.
+    peer.storeAvailable();
+    peer.applySnapshot(new KeyedPage(reader.records(), 10), 0);
+    assertEquals(
+        List.of("b", "c"), listings.get(1).endpoints().stream().map(Endpoint::name).toList());
   }
 
   @Test
-  void whatIsKnownOfAnUnusableEntryGoesWithItsRecord() {
+  void invalidationIsForgottenWithItsRecord() {
     reader.applySnapshot(page("a", READY, "b", READY), 0);
     reader.applyChanges(page("a", new byte[] {'x'}), 0);
     assertEquals(2, reader.records().size());
@@ -169,7 +171,7 @@
   }
 
   @Test
-  void onlyChangesThatMatterMoveTheirEnd() {
+  void onlyRelevantChangesAdvanceTheLastChange() {
     reader.applySnapshot(page("a", READY, "b", READY), 0);
     assertEquals(3, reader.lastChange().offset());
     reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(9, "a", READY)), 10), 0);
@@ -177,12 +179,12 @@
     assertEquals(3, reader.lastChange().offset());
     reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(10, "a", LEAVING)), 11), 0);
     assertEquals(11, reader.lastChange().offset());
-    reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(11, "a", NONE)), 12), 0);
+    reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(11, "a", EMPTY)), 12), 0);
     assertEquals(13, reader.lastChange().offset());
   }
 
   @Test
-  void theAgeCountsFromTheLatestProof() {
+  void ageCountsFromTheLatestConfirmation() {
     reader.applySnapshot(page("a", READY), 900);
     assertEquals(100, reader.ageMs(nowMs));
     reader.confirm(new StorePosition(0, 7), 950);
@@ -196,76 +198,76 @@
     return new byte[] {(byte) state, (byte) sequence};
   }
 
-  private static KeyedPage inEra(long era, KeyedPage page) {
-    return new KeyedPage(page.records(), page.end(), era);
+  private static KeyedPage inEpoch(long epoch, KeyedPage page) {
+    return new KeyedPage(page.records(), page.end(), epoch);
   }
 
-  private void wholeIn(long era, Object... keysAndValues) {
-    reader.applySnapshot(inEra(era, page(keysAndValues)), nowMs);
+  private void applySnapshotIn(long epoch, Object... keysAndValues) {
+    reader.applySnapshot(inEpoch(epoch, page(keysAndValues)), nowMs);
   }
 
   @Test
-  void anEndpointThatWasGoneComesBackOnlyWithWhatItWroteSince() {
-    wholeIn(1, "a", written('r', 5), "b", written('r', 5));
-    reader.applyChanges(inEra(1, page("a", NONE)), nowMs);
-    wholeIn(2, "a", written('r', 4), "b", written('r', 4));
+  void removedEndpointIsListedAgainOnlyWithANewerEntry() {
+    applySnapshotIn(1, "a", written('r', 5), "b", written('r', 5));
+    reader.applyChanges(inEpoch(1, page("a", EMPTY)), nowMs);
+    applySnapshotIn(2, "a", written('r', 4), "b", written('r', 4));
     assertEquals(List.of("b"), names());
-    reader.applyChanges(inEra(2, page("a", written('r', 6))), nowMs);
+    reader.applyChanges(inEpoch(2, page("a", written('r', 6))), nowMs);
     assertEquals(List.of("a", "b"), names());
   }
 
   @Test
-  void inOneEraWhatComesLaterCountsWhateverItsNumber() {
-    wholeIn(1, "a", written('r', 5), "b", written('r', 5));
-    reader.applyChanges(inEra(1, page("a", NONE)), nowMs);
-    reader.applyChanges(inEra(1, page("a", written('r', 1))), nowMs);
+  void withinAnEpochLaterRecordsCountWhateverTheirSequence() {
+    applySnapshotIn(1, "a", written('r', 5), "b", written('r', 5));
+    reader.applyChanges(inEpoch(1, page("a", EMPTY)), nowMs);
+    reader.applyChanges(inEpoch(1, page("a", written('r', 1))), nowMs);
     assertEquals(List.of("a", "b"), names());
   }
 
   @Test
-  void anEndpointThatIsLeavingStaysSoUntilItWritesOtherwise() {
-    wholeIn(1, "a", written('r', 5));
-    reader.applyChanges(inEra(1, page("a", written('l', 6))), nowMs);
-    wholeIn(2, "a", written('r', 5));
+  void endpointIsShuttingDownUntilItWritesOtherwise() {
+    applySnapshotIn(1, "a", written('r', 5));
+    reader.applyChanges(inEpoch(1, page("a", written('l', 6))), nowMs);
+    applySnapshotIn(2, "a", written('r', 5));
     assertEquals(Set.of(new HostIdentity("a", 0)), listing.leaving());
-    // Hosts that ask this one learn the same.
+    // Hosts that query this one receive the same.
     assertEquals('l', reader.records().get(0).value()[0]);
   }
 
   @Test
-  void whatTheCopyLacksIsKeptForTwoSeconds() {
-    wholeIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    wholeIn(2, "a", written('r', 1), "b", written('r', 1));
+  void entriesMissingInTheCopyAreKeptForTwoSeconds() {
+    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
+    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1));
     assertEquals(List.of("a", "b", "c"), names());
     nowMs += 2_001;
-    reader.applyChanges(inEra(2, page()), nowMs);
+    reader.applyChanges(inEpoch(2, page()), nowMs);
     assertEquals(List.of("a", "b"), names());
   }
 
   @Test
-  void whatTheCopyLacksAndWritesItselfAgainStays() {
-    wholeIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    wholeIn(2, "a", written('r', 1), "b", written('r', 1));
+  void entriesMissingInTheCopyStayIfWrittenAgain() {
+    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
+    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1));
     nowMs += 1_000;
-    reader.applyChanges(inEra(2, page("c", written('r', 2))), nowMs);
+    reader.applyChanges(inEpoch(2, page("c", written('r', 2))), nowMs);
     nowMs += 2_001;
-    reader.applyChanges(inEra(2, page()), nowMs);
+    reader.applyChanges(inEpoch(2, page()), nowMs);
     assertEquals(List.of("a", "b", "c"), names());
   }
 
   @Test
-  void anEntryThatGoesAfterTheStoreCameBackIsGoneAtOnce() {
-    wholeIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    wholeIn(2, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    reader.applyChanges(inEra(2, page("a", NONE)), nowMs);
+  void entryRemovedAfterARestoreIsUnlistedAtOnce() {
+    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
+    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
+    reader.applyChanges(inEpoch(2, page("a", EMPTY)), nowMs);
     assertEquals(List.of("b", "c"), names());
   }
 
   @Test
-  void whatWasReadBeforeTheStoreWentBackProvesNothing() {
-    wholeIn(2, "a", READY);
+  void pagesOfAPreviousEpochConfirmNothing() {
+    applySnapshotIn(2, "a", READY);
     nowMs += 500;
-    reader.applySnapshot(inEra(1, page("a", LEAVING, "b", READY)), nowMs);
+    reader.applySnapshot(inEpoch(1, page("a", LEAVING, "b", READY)), nowMs);
     reader.confirm(new StorePosition(1, 90), nowMs);
     assertEquals(List.of("a"), names());
     assertEquals(500, reader.ageMs(nowMs));
@@ -273,52 +275,52 @@
   }
 
   @Test
-  void lowerOffsetsOfALaterEraComeAfterAll() {
-    wholeIn(1, "a", READY, "b", READY, "c", READY);
-    wholeIn(2, "a", READY);
+  void lowerOffsetsOfALaterEpochAreLater() {
+    applySnapshotIn(1, "a", READY, "b", READY, "c", READY);
+    applySnapshotIn(2, "a", READY);
     assertEquals(new StorePosition(2, 1), reader.knownEnd());
-    reader.applyChanges(inEra(2, page("a", LEAVING)), nowMs);
+    reader.applyChanges(inEpoch(2, page("a", LEAVING)), nowMs);
     assertEquals(new StorePosition(2, 1), reader.lastChange());
   }
 
   @Test
-  void theStoreMayGoBackAgainAndAgain() {
-    wholeIn(1, "a", written('r', 5), "b", written('r', 5));
-    reader.applyChanges(inEra(1, page("a", NONE)), nowMs);
-    for (long era = 2; era < 6; era++) {
-      wholeIn(era, "a", written('r', 5), "b", written('r', 5));
-      assertEquals(List.of("b"), names(), "era " + era);
+  void storeMayBeRestoredRepeatedly() {
+    applySnapshotIn(1, "a", written('r', 5), "b", written('r', 5));
+    reader.applyChanges(inEpoch(1, page("a", EMPTY)), nowMs);
+    for (long epoch = 2; epoch < 6; epoch++) {
+      applySnapshotIn(epoch, "a", written('r', 5), "b", written('r', 5));
+      assertEquals(List.of("b"), names(), "epoch " + epoch);
     }
   }
 
   @Test
-  void anAnswerOfTheEarlierEraThatComesLateChangesNothing() {
-    wholeIn(1, "a", written('r', 1), "b", written('r', 1));
-    wholeIn(2, "a", written('r', 1), "b", written('r', 1));
-    KeyedRecord late = new KeyedRecord(90, "a", NONE);
+  void lateAnswerOfAPreviousEpochIsIgnored() {
+    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1));
+    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1));
+    KeyedRecord late = new KeyedRecord(90, "a", EMPTY);
     reader.applyChanges(new KeyedPage(List.of(late), 91, 1), nowMs);
     assertEquals(List.of("a", "b"), names());
     assertEquals(2, reader.knownEnd().era());
   }
 
   @Test
-  void whatIsWrittenAgainAsItWasStays() {
-    wholeIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    wholeIn(2, "a", written('r', 1), "b", written('r', 1));
-    reader.applyChanges(inEra(2, page("c", written('r', 1))), nowMs);
+  void entryWrittenAgainUnchangedStays() {
+    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
+    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1));
+    reader.applyChanges(inEpoch(2, page("c", written('r', 1))), nowMs);
     nowMs += 2_001;
-    reader.applyChanges(inEra(2, page()), nowMs);
+    reader.applyChanges(inEpoch(2, page()), nowMs);
     assertEquals(List.of("a", "b", "c"), names());
   }
 
-  private Set<String> keysChangedSince(StorePosition place) {
-    return reader.changesSince(place).orElseThrow().stream()
+  private Set<String> keysChangedSince(StorePosition position) {
+    return reader.changesSince(position).orElseThrow().stream()
         .map(KeyedRecord::key)
         .collect(Collectors.toSet());
   }
 
   @Test
-  void eachChangeHasAPlaceAfterTheOneBefore() {
+  void eachChangeHasALaterPosition() {
     reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
     StorePosition read = reader.lastChange();
     reader.applySnapshot(page("b", READY, "c", READY), 0);
@@ -326,39 +328,39 @@
     assertTrue(dropped.isAfter(read));
     reader.applySnapshot(page("c", READY), 0);
     StorePosition droppedAgain = reader.lastChange();
-    assertTrue(droppedAgain.isAfter(dropped), "the log stood still between the two");
+    assertTrue(droppedAgain.isAfter(dropped), "the log was not written to in between");
     reader.applyChanges(page("c", LEAVING), 0);
-    assertTrue(reader.lastChange().isAfter(droppedAgain), "read behind a place beyond the end");
+    assertTrue(reader.lastChange().isAfter(droppedAgain), "read after a position beyond the end");
   }
 
   @Test
-  void aHostThatKnowsTheRestIsToldOnlyWhatChanged() {
+  void peerThatKnowsTheRestReceivesOnlyChanges() {
     reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
     StorePosition known = reader.lastChange();
     reader.applyChanges(page("a", LEAVING), 0);
-    reader.applyChanges(page("b", NONE), 0);
+    reader.applyChanges(page("b", EMPTY), 0);
     assertEquals(Set.of("a", "b"), keysChangedSince(known));
     assertEquals(Set.of(), keysChangedSince(reader.lastChange()));
   }
 
   @Test
-  void whatItIsToldBringsItToTheSameList() {
+  void changesLeadToTheSameList() {
     reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
-    EndpointReader other =
+    EndpointReader peer =
         new EndpointReader(
             new Decoder(), newer -> listing = newer, () -> nowMs, new HostLog("test"));
-    other.applySnapshot(new KeyedPage(reader.records(), reader.knownEnd().offset()), 0);
+    peer.applySnapshot(new KeyedPage(reader.records(), reader.knownEnd().offset()), 0);
     StorePosition known = reader.lastChange();
     reader.applyChanges(page("a", LEAVING), 0);
-    reader.applyChanges(page("b", NONE), 0);
-    List<KeyedRecord> told = reader.changesSince(known).orElseThrow();
-    other.applyChanges(new KeyedPage(told, reader.knownEnd().offset()), 0);
+    reader.applyChanges(page("b", EMPTY), 0);
+    List<KeyedRecord> changes = reader.changesSince(known).orElseThrow();
+    peer.applyChanges(new KeyedPage(changes, reader.knownEnd().offset()), 0);
     assertEquals(List.of("a", "c"), names());
     assertEquals(Set.of(new HostIdentity("a", 0)), listing.leaving());
   }
 
   @Test
-  void aHostOfAnotherEraOrFarBehindIsToldAll() {
+  void peerOfAnotherEpochOrFarBehindReceivesAllEntries() {
     reader.applySnapshot(page("a", READY), 0);
     assertTrue(reader.changesSince(StorePosition.NONE).isEmpty());
     for (int i = 0; i <= EntryChanges.MAX_KEPT; i++) {
@@ -369,20 +371,23 @@
   }
 
   @Test
-  void anEntryThatWasWrittenOverIsToldWithAllOthers() {
+  void invalidationIsSentWithAllEntries() {
     reader.applySnapshot(page("a", READY, "b", READY), 0);
     StorePosition known = reader.lastChange();
     reader.applyChanges(page("a", new byte[] {'x'}), 0);
     assertTrue(reader.changesSince(known).isEmpty());
   }
 
-  /** Another thread tells peers how far this host has read, and what changed up to there. */
+  /**
+   * Another thread sends peers the position up to which this host has read, and the changes up to
+   * it.
+   */
   @Test
-  void nobodyIsToldThatAPageIsReadBeforeAllOfItIs() {
+  void positionAdvancesOnlyAfterTheCompletePage() {
     reader.applySnapshot(page("a", READY), 0);
     StorePosition before = reader.knownEnd();
     List<StorePosition> whileReading = new ArrayList<>();
-    whenDecoded = () -> whileReading.add(reader.knownEnd());
+    onDecode = () -> whileReading.add(reader.knownEnd());
     reader.applyChanges(page("a", LEAVING, "b", READY, "c", READY), 0);
     assertEquals(List.of(before, before, before), whileReading);
     assertTrue(reader.knownEnd().isAfter(before));
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EngineLivenessTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EngineLivenessTest.java
@@ -14,119 +14,120 @@
 import org.fawndrum.state.HostAddress;
 import org.junit.jupiter.api.Test;
 
-/** An engine that is silent is probed, and taken for dead when it does not answer. */
+/** A silent engine is probed, and considered dead when it does not answer. */
 class EngineLivenessTest {
   private static final HostAddress ENGINE = new HostAddress("127.0.0.1", 1);
 
-  private static final long PROBE_MS = 500;
-  private static final long LOOK_MS = 200;
+  private static final long PROBE_TIMEOUT_MS = 500;
+  private static final long POLL_MS = 200;
 
   private final ManualClock clock = new ManualClock();
   private final Deque<Promise<Void>> probes = new ArrayDeque<>();
-  private final List<Long> signs = new ArrayList<>();
+  private final List<Long> signsOfLife = new ArrayList<>();
   private int deaths;
   private final EngineLiveness liveness =
-      new EngineLiveness(this::probe, clock, signs::add, why -> deaths++);
+      new EngineLiveness(this::probe, clock, signsOfLife::add, why -> deaths++);
 
-  /** Probes are answered by hand. */
+  /** The test completes the probes. */
   private Future<Void> probe() {
     Promise<Void> answer = Promise.promise();
     probes.addLast(answer);
     return answer.future();
   }
 
-  private void lookAfter(long ms) {
+  private void pollAfter(long ms) {
     clock.advance(ms);
     liveness.probeIfSilent();
   }
 
-  /** A probe that got no answer in its time; the engine is looked at again a moment later. */
-  private void noAnswer() {
-    clock.advance(PROBE_MS);
+  /** A probe times out; the engine is checked again a moment later. */
+  private void failProbe() {
+    clock.advance(PROBE_TIMEOUT_MS);
     probes.removeFirst().fail(new EndpointUnreachableException(ENGINE, null));
   }
 
   @Test
-  void whatSpeaksIsNotProbed() {
+  void activeEngineIsNotProbed() {
     for (int i = 0; i < 10; i++) {
-      lookAfter(EngineLiveness.PROBE_AFTER_MS - 1);
+      pollAfter(EngineLiveness.PROBE_AFTER_MS - 1);
       liveness.recordActivity();
     }
     assertTrue(probes.isEmpty());
-    assertEquals(10, signs.size());
+    assertEquals(10, signsOfLife.size());
   }
 
   @Test
-  void aSilentEngineThatAnswersProbesIsAliveForAsLongAsItDoes() {
+  void silentEngineIsAliveWhileItAnswersProbes() {
     for (int i = 0; i < 20; i++) {
-      lookAfter(EngineLiveness.PROBE_AFTER_MS);
+      pollAfter(EngineLiveness.PROBE_AFTER_MS);
       probes.removeFirst().complete();
     }
     assertEquals(0, deaths);
-    assertEquals(20, signs.size());
+    assertEquals(20, signsOfLife.size());
   }
 
   @Test
-  void twoProbesWithoutAnAnswerAreADeathAndOnlyOne() {
-    lookAfter(EngineLiveness.PROBE_AFTER_MS);
-    noAnswer();
+  void twoUnansweredProbesReportDeathOnce() {
+    pollAfter(EngineLiveness.PROBE_AFTER_MS);
+    failProbe();
     assertEquals(0, deaths);
-    lookAfter(LOOK_MS);
-    noAnswer();
+    pollAfter(POLL_MS);
+    failProbe();
     assertEquals(1, deaths);
     assertTrue(liveness.silentMs() >= EngineLiveness.MIN_DEAD_AFTER_MS);
-    lookAfter(EngineLiveness.PROBE_AFTER_MS);
+    pollAfter(EngineLiveness.PROBE_AFTER_MS);
     assertTrue(probes.isEmpty());
     assertEquals(1, deaths);
   }
 
   @Test
-  void oneProbeIsEnoughWhereTheEngineShouldHaveSpoken() {
+  void oneUnansweredProbeSufficesWhenAnEventIsOverdue() {
     clock.advance(EngineLiveness.PROBE_AFTER_MS);
     liveness.probeOverdue();
     probes.removeFirst().complete();
     assertEquals(0, deaths);
     clock.advance(EngineLiveness.PROBE_AFTER_MS);
     liveness.probeOverdue();
-    noAnswer();
+    failProbe();
     assertEquals(1, deaths);
     assertTrue(liveness.silentMs() < EngineLiveness.MIN_DEAD_AFTER_MS);
   }
 
   @Test
-  void oneLostAnswerIsForgivenEachTime() {
+  void singleUnansweredProbesAreTolerated() {
     for (int i = 0; i < 5; i++) {
-      lookAfter(EngineLiveness.PROBE_AFTER_MS);
-      noAnswer();
-      lookAfter(LOOK_MS);
+      pollAfter(EngineLiveness.PROBE_AFTER_MS);
+      failProbe();
+      pollAfter(POLL_MS);
       probes.removeFirst().complete();
     }
     assertEquals(0, deaths);
   }
 
   @Test
-  void probesThatFailWithinMillisecondsAreNoDeathBeforeItsTime() {
+  void probesThatFailAtOnceDoNotShortenTheMinimumSilence() {
     clock.advance(EngineLiveness.PROBE_AFTER_MS);
     while (liveness.silentMs() < EngineLiveness.MIN_DEAD_AFTER_MS) {
       liveness.probeIfSilent();
       assertEquals(0, deaths, "dead after " + liveness.silentMs());
       probes.removeFirst().fail(new EndpointUnreachableException(ENGINE, null));
-      clock.advance(LOOK_MS);
+      clock.advance(POLL_MS);
     }
   }
 
   @Test
-  void memoryOfADeadEngineIsFreeWithinFourSeconds() {
+  void memoryOfADeadEngineIsReleasedWithinFourSeconds() {
     long unusedMs = 4_000;
     long releaseMs = 3 * 300;
     long reportAgeMs = 300;
-    // The worst case: each look comes as late as it can, each probe fails as late as it can.
-    lookAfter(EngineLiveness.PROBE_AFTER_MS - 1);
-    lookAfter(LOOK_MS);
+    // The worst case: each check comes as late as possible, and each probe fails as late as
+    // possible.
+    pollAfter(EngineLiveness.PROBE_AFTER_MS - 1);
+    pollAfter(POLL_MS);
     while (deaths == 0) {
-      noAnswer();
+      failProbe();
       if (deaths == 0) {
-        lookAfter(LOOK_MS);
+        pollAfter(POLL_MS);
       }
     }
     assertTrue(
@@ -134,22 +135,22 @@
   }
 
   @Test
-  void aSignCountsFromTheProbeAndNotFromItsAnswer() {
-    lookAfter(EngineLiveness.PROBE_AFTER_MS);
+  void signOfLifeCountsFromTheProbeNotFromItsAnswer() {
+    pollAfter(EngineLiveness.PROBE_AFTER_MS);
     clock.advance(400);
     probes.removeFirst().complete();
-    assertEquals(List.of(EngineLiveness.PROBE_AFTER_MS), signs);
+    assertEquals(List.of(EngineLiveness.PROBE_AFTER_MS), signsOfLife);
     assertEquals(400, liveness.silentMs());
   }
 
   @Test
-  void oneProbeAtATimeAndNoneAfterTheEnd() {
-    lookAfter(EngineLiveness.PROBE_AFTER_MS);
-    lookAfter(100);
+  void oneProbeAtATimeAndNoneAfterStop() {
+    pollAfter(EngineLiveness.PROBE_AFTER_MS);
+    pollAfter(100);
     assertEquals(1, probes.size());
     liveness.stop();
-    noAnswer();
-    lookAfter(EngineLiveness.PROBE_AFTER_MS);
+    failProbe();
+    pollAfter(EngineLiveness.PROBE_AFTER_MS);
     assertTrue(probes.isEmpty());
     assertEquals(0, deaths);
   }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EventSplitterTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EventSplitterTest.java
@@ -15,48 +15,48 @@
 import org.fawndrum.transport.relay.EventSplitter.StreamEvent;
 import org.junit.jupiter.api.Test;
 
-/** Events come out whole, wherever the network cuts the bytes. */
+/** Events are complete wherever the network splits the bytes. */
 class EventSplitterTest {
   private static String event(int id) {
     return "id: " + id + "\nevent: piece\ndata: text of " + id + "\n\n";
   }
 
   @Property(seed = "4711", tries = 300)
-  void anyCutGivesTheSameEvents(
+  void anySplitYieldsTheSameEvents(
       @ForAll @IntRange(min = 1, max = 6) int events,
       @ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 40) Integer> cuts) {
-    StringBuilder whole = new StringBuilder();
+    StringBuilder stream = new StringBuilder();
     for (int id = 1; id <= events; id++) {
-      whole.append(event(id));
+      stream.append(event(id));
     }
     EventSplitter splitter = new EventSplitter();
     List<StreamEvent> seen = new ArrayList<>();
-    int at = 0;
-    int turn = 0;
-    while (at < whole.length()) {
-      int end = Math.min(whole.length(), at + cuts.get(turn++ % cuts.size()));
-      seen.addAll(splitter.append(Buffer.buffer(whole.substring(at, end))));
-      at = end;
+    int start = 0;
+    int cutIndex = 0;
+    while (start < stream.length()) {
+      int end = Math.min(stream.length(), start + cuts.get(cutIndex++ % cuts.size()));
+      seen.addAll(splitter.append(Buffer.buffer(stream.substring(start, end))));
+      start = end;
     }
     assertEquals(events, seen.size());
-    StringBuilder together = new StringBuilder();
+    StringBuilder joined = new StringBuilder();
     for (int i = 0; i < events; i++) {
       assertEquals(i + 1, seen.get(i).id());
-      together.append(seen.get(i).bytes());
+      joined.append(seen.get(i).bytes());
     }
-    assertEquals(whole.toString(), together.toString());
+    assertEquals(stream.toString(), joined.toString());
     assertFalse(splitter.hasPartialEvent());
   }
 
   @Test
-  void aCutEventWaitsAndIsSeenAsCut() {
+  void partialEventIsBufferedAndReported() {
     EventSplitter splitter = new EventSplitter();
     assertTrue(splitter.append(Buffer.buffer("id: 1\ndata: a\n")).isEmpty());
     assertTrue(splitter.hasPartialEvent());
   }
 
   @Test
-  void anEventWithoutAnIdOrWithABadOneHasNone() {
+  void eventWithoutAValidIdHasNone() {
     EventSplitter splitter = new EventSplitter();
     assertEquals(-1, splitter.append(Buffer.buffer("data: a\n\n")).get(0).id());
     assertEquals(-1, splitter.append(Buffer.buffer("id: x\ndata: a\n\n")).get(0).id());
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/ManualClock.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/ManualClock.java
@@ -3,7 +3,7 @@
 
 import org.fawndrum.transport.HostClock;
 
-/** A clock that a test moves. */
+/** A clock that a test advances. */
 final class ManualClock implements HostClock {
   private long nowMs;
 
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/NoOpEndpointEventPublisher.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/NoOpEndpointEventPublisher.java
@@ -6,20 +6,20 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 
-/** For hosts in tests that are alone. */
+/** For hosts without peers in tests. */
 final class NoOpEndpointEventPublisher implements EndpointEventPublisher {
   @Override
-  public void publishCrashes(CrashNews news) {
-    // Nobody is there to be told.
+  public void publishCrashes(CrashNews crashes) {
+    // There are no peers.
   }
 
   @Override
   public void sendAllCrashes(HostAddress to, CrashNews all) {
-    // Nobody is there to be told.
+    // There are no peers.
   }
 
   @Override
   public void publishShutdowns(List<HostIdentity> endpoints) {
-    // Nobody is there to be told.
+    // There are no peers.
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/PromptMemoryTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/PromptMemoryTest.java
@@ -25,7 +25,7 @@
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
-/** Memory on several engines is had wholly or not at all, and never kept. */
+/** Memory on several engines is reserved completely or not at all, and always released. */
 class PromptMemoryTest {
   private static final HostIdentity SELF = new HostIdentity("host-1", 1);
 
@@ -33,10 +33,10 @@
       Future.succeededFuture(new EngineReport(0, 0, Set.of()));
 
   private final ManualClock clock = new ManualClock();
-  private final Orders orders = new Orders();
+  private final ManualEngineControl engineControl = new ManualEngineControl();
   private final Timers timers = new Timers();
 
-  /** Timers that a test runs, one after the other, each at its time. */
+  /** Timers that a test runs one after the other, each at its time. */
   private final class Timers {
     private final Deque<Runnable> steps = new ArrayDeque<>();
     private final Deque<Long> waits = new ArrayDeque<>();
@@ -54,15 +54,15 @@
     }
   }
 
-  /** Engines that are answered by hand. */
-  private static final class Orders implements EngineOrders {
-    final Deque<Promise<Boolean>> asked = new ArrayDeque<>();
-    final List<String> engines = new ArrayList<>();
+  /** Engines whose answers the test provides. */
+  private static final class ManualEngineControl implements EngineOrders {
+    final Deque<Promise<Boolean>> pendingReserves = new ArrayDeque<>();
+    final List<String> reservedEngines = new ArrayList<>();
     final List<String> released = new ArrayList<>();
     final Set<String> tickets = new HashSet<>();
     final List<Long> holds = new ArrayList<>();
-    final List<String> questioned = new ArrayList<>();
-    Set<String> used = Set.of();
+    final List<String> probedEngines = new ArrayList<>();
+    Set<String> ticketsInUse = Set.of();
     int releasesToFail;
 
     @Override
@@ -71,8 +71,8 @@
     @Override
     public Future<Boolean> reserve(Endpoint engine, String ticket, long tokens, long holdMs) {
       Promise<Boolean> answer = Promise.promise();
-      asked.addLast(answer);
-      engines.add(engine.name());
+      pendingReserves.addLast(answer);
+      reservedEngines.add(engine.name());
       tickets.add(ticket);
       holds.add(holdMs);
       return answer.future();
@@ -90,25 +90,25 @@
 
     @Override
     public Future<EngineReport> report(Endpoint engine) {
-      questioned.add(engine.name());
-      return Future.succeededFuture(new EngineReport(0, 0, used));
+      probedEngines.add(engine.name());
+      return Future.succeededFuture(new EngineReport(0, 0, ticketsInUse));
     }
 
     void grantAll() {
-      while (!asked.isEmpty()) {
-        asked.removeFirst().complete(true);
+      while (!pendingReserves.isEmpty()) {
+        pendingReserves.removeFirst().complete(true);
       }
     }
 
-    void loseNext() {
-      asked.removeFirst().fail(new EndpointUnreachableException(null, null));
+    void failNext() {
+      pendingReserves.removeFirst().fail(new EndpointUnreachableException(null, null));
     }
   }
 
-  private PromptMemory held(Action.Helper... helpers) {
+  private PromptMemory reserved(Action.Helper... helpers) {
     PromptMemory memory = memory(1, helpers);
     memory.reserve();
-    orders.grantAll();
+    engineControl.grantAll();
     return memory;
   }
 
@@ -122,174 +122,175 @@
 
   private PromptMemory memory(int attempt, Action.Helper... helpers) {
     AttemptId id = new AttemptId(SELF, "r-1", attempt);
-    return new PromptMemory(clock, timers::add, orders, id, List.of(helpers), new HostLog("test"));
+    return new PromptMemory(
+        clock, timers::add, engineControl, id, List.of(helpers), new HostLog("test"));
   }
 
   @Test
-  void helpersWithoutMemoryNeedNoOrder() {
+  void helpersWithoutMemoryAreNotReserved() {
     PromptMemory memory = memory(1, helper("e-1", 0));
     assertTrue(memory.reserve().succeeded());
     assertEquals("", memory.helpers().get(0).ticket());
     memory.release();
-    assertTrue(orders.engines.isEmpty() && orders.released.isEmpty());
+    assertTrue(engineControl.reservedEngines.isEmpty() && engineControl.released.isEmpty());
   }
 
   @Test
-  void enginesAreAskedOneAfterTheOtherInOneOrder() {
-    Future<Void> had = memory(1, helper("e-2", 10), helper("e-1", 10)).reserve();
-    assertEquals(List.of("e-1"), orders.engines);
-    orders.asked.removeFirst().complete(true);
-    assertEquals(List.of("e-1", "e-2"), orders.engines);
-    assertFalse(had.isComplete());
-    orders.asked.removeFirst().complete(true);
-    assertTrue(had.succeeded());
+  void enginesAreReservedSequentiallyByName() {
+    Future<Void> reservation = memory(1, helper("e-2", 10), helper("e-1", 10)).reserve();
+    assertEquals(List.of("e-1"), engineControl.reservedEngines);
+    engineControl.pendingReserves.removeFirst().complete(true);
+    assertEquals(List.of("e-1", "e-2"), engineControl.reservedEngines);
+    assertFalse(reservation.isComplete());
+    engineControl.pendingReserves.removeFirst().complete(true);
+    assertTrue(reservation.succeeded());
   }
 
   @Test
-  void whenOneEngineHasNotEnoughNothingIsKept() {
-    Future<Void> had = memory(1, helper("e-1", 10), helper("e-2", 10)).reserve();
-    orders.asked.removeFirst().complete(true);
-    orders.asked.removeFirst().complete(false);
-    assertTrue(had.failed());
-    assertEquals(List.of("e-1", "e-2"), orders.released);
+  void nothingIsKeptIfOneEngineLacksMemory() {
+    Future<Void> reservation = memory(1, helper("e-1", 10), helper("e-2", 10)).reserve();
+    engineControl.pendingReserves.removeFirst().complete(true);
+    engineControl.pendingReserves.removeFirst().complete(false);
+    assertTrue(reservation.failed());
+    assertEquals(List.of("e-1", "e-2"), engineControl.released);
   }
 
   @Test
-  void anOrderWithoutAnAnswerIsTakenBackToo() {
-    Future<Void> had = memory(1, helper("e-1", 10)).reserve();
-    orders.asked.removeFirst().fail(new EndpointUnreachableException(null, null));
-    assertTrue(had.failed());
-    assertEquals(List.of("e-1"), orders.released);
+  void unansweredReserveIsReleased() {
+    Future<Void> reservation = memory(1, helper("e-1", 10)).reserve();
+    engineControl.pendingReserves.removeFirst().fail(new EndpointUnreachableException(null, null));
+    assertTrue(reservation.failed());
+    assertEquals(List.of("e-1"), engineControl.released);
   }
 
   @Test
-  void aRequestThatEndsMeanwhileKeepsNothing() {
+  void requestCompletedMeanwhileKeepsNothing() {
     PromptMemory memory = memory(1, helper("e-1", 10), helper("e-2", 10));
-    Future<Void> had = memory.reserve();
+    Future<Void> reservation = memory.reserve();
     memory.release();
-    orders.asked.removeFirst().complete(true);
-    assertTrue(had.failed());
-    assertEquals(List.of("e-1"), orders.engines);
-    assertEquals(List.of("e-1"), orders.released);
+    engineControl.pendingReserves.removeFirst().complete(true);
+    assertTrue(reservation.failed());
+    assertEquals(List.of("e-1"), engineControl.reservedEngines);
+    assertEquals(List.of("e-1"), engineControl.released);
   }
 
   @Test
-  void aReleaseThatFailsIsTriedAgainAndTwiceIsOnce() {
+  void failedReleaseIsRetriedAndReleaseIsIdempotent() {
     PromptMemory memory = memory(1, helper("e-1", 10));
     memory.reserve();
-    orders.asked.removeFirst().complete(true);
-    orders.releasesToFail = 2;
+    engineControl.pendingReserves.removeFirst().complete(true);
+    engineControl.releasesToFail = 2;
     memory.release();
     memory.release();
-    assertEquals(List.of("e-1", "e-1", "e-1"), orders.released);
+    assertEquals(List.of("e-1", "e-1", "e-1"), engineControl.released);
   }
 
   @Test
-  void noTicketIsUsedTwice() {
+  void ticketsAreUnique() {
     memory(1, helper("e-1", 10)).reserve();
     memory(2, helper("e-1", 10)).reserve();
-    PromptMemory two = memory(3, helper("e-1", 10), helper("e-2", 10));
-    assertEquals(2, two.helpers().stream().map(RelayCodec.Helper::ticket).distinct().count());
-    assertEquals(2, orders.tickets.size());
+    PromptMemory third = memory(3, helper("e-1", 10), helper("e-2", 10));
+    assertEquals(2, third.helpers().stream().map(RelayCodec.Helper::ticket).distinct().count());
+    assertEquals(2, engineControl.tickets.size());
   }
 
   @Test
-  void timeAloneRenewsNoLease() {
-    PromptMemory memory = held(helper("e-1", 10));
+  void elapsedTimeRenewsNoLease() {
+    PromptMemory memory = reserved(helper("e-1", 10));
     clock.advance(10 * PromptMemory.LEASE_MS);
     assertTrue(memory.isReserved());
-    assertEquals(1, orders.engines.size(), "orders without a sign of life");
+    assertEquals(1, engineControl.reservedEngines.size(), "reserved again without evidence");
   }
 
   @Test
-  void signsOfLifeRenewAllLeasesButNotAtEachSign() {
-    PromptMemory memory = held(helper("e-1", 10), helper("e-2", 10));
+  void evidenceRenewsAllLeasesAtALimitedRate() {
+    PromptMemory memory = reserved(helper("e-1", 10), helper("e-2", 10));
     for (int i = 0; i < 10; i++) {
       clock.advance(PromptMemory.MIN_RENEWAL_MS / 10);
       memory.renewOnEvidence(clock.nowMs());
-      orders.grantAll();
+      engineControl.grantAll();
     }
-    assertEquals(List.of("e-1", "e-2", "e-1", "e-2"), orders.engines);
-    assertEquals(PromptMemory.LEASE_MS, orders.holds.get(3));
+    assertEquals(List.of("e-1", "e-2", "e-1", "e-2"), engineControl.reservedEngines);
+    assertEquals(PromptMemory.LEASE_MS, engineControl.holds.get(3));
   }
 
   @Test
-  void aLeaseNeverGoesFurtherBeyondTheSignOfLifeThanItsLength() {
-    PromptMemory memory = held(helper("e-1", 10));
+  void leaseDurationCountsFromTheEvidence() {
+    PromptMemory memory = reserved(helper("e-1", 10));
     clock.advance(PromptMemory.MIN_RENEWAL_MS);
     long aliveMs = clock.nowMs();
     clock.advance(400);
     memory.renewOnEvidence(aliveMs);
-    assertEquals(List.of(PromptMemory.LEASE_MS, PromptMemory.LEASE_MS - 400), orders.holds);
+    assertEquals(List.of(PromptMemory.LEASE_MS, PromptMemory.LEASE_MS - 400), engineControl.holds);
     clock.advance(PromptMemory.LEASE_MS);
     memory.renewOnEvidence(aliveMs + PromptMemory.MIN_RENEWAL_MS - 400);
-    assertEquals(2, orders.holds.size(), "an order for a time that is over");
+    assertEquals(2, engineControl.holds.size(), "renewed for a time that has passed");
   }
 
   @Test
-  void aRenewalWithoutAnAnswerIsSentAgainWithTheNextSign() {
-    PromptMemory memory = held(helper("e-1", 10));
+  void unansweredRenewalIsRepeatedWithTheNextEvidence() {
+    PromptMemory memory = reserved(helper("e-1", 10));
     for (int i = 0; i < 3; i++) {
       clock.advance(PromptMemory.MIN_RENEWAL_MS);
       memory.renewOnEvidence(clock.nowMs());
-      orders.loseNext();
-      assertTrue(orders.asked.isEmpty(), "sent again at once");
+      engineControl.failNext();
+      assertTrue(engineControl.pendingReserves.isEmpty(), "sent again at once");
     }
-    assertEquals(4, orders.engines.size());
+    assertEquals(4, engineControl.reservedEngines.size());
   }
 
   @Test
-  void whatALateOrderMaySetAsideIsReleasedUntilNoneCanBeLate() {
-    PromptMemory memory = held(helper("e-1", 10), helper("e-2", 10));
+  void lateReservesAreReleasedUntilNoneCanTakeEffect() {
+    PromptMemory memory = reserved(helper("e-1", 10), helper("e-2", 10));
     clock.advance(PromptMemory.MIN_RENEWAL_MS);
     memory.renewOnEvidence(clock.nowMs());
-    orders.loseNext();
-    orders.grantAll();
+    engineControl.failNext();
+    engineControl.grantAll();
     memory.release();
-    assertEquals(List.of("e-1", "e-2"), orders.released);
+    assertEquals(List.of("e-1", "e-2"), engineControl.released);
     timers.runAll();
-    long again = orders.released.stream().filter("e-1"::equals).count() - 1;
+    long again = engineControl.released.stream().filter("e-1"::equals).count() - 1;
     assertTrue(
         again * PromptMemory.RELEASE_INTERVAL_MS >= PromptMemory.MAX_LATE_MS, "only " + again);
-    assertEquals(1, orders.released.stream().filter("e-2"::equals).count());
+    assertEquals(1, engineControl.released.stream().filter("e-2"::equals).count());
   }
 
   @Test
-  void theEngineThatDoesNotAnswerIsNamed() {
+  void unresponsiveEngineIsReported() {
     PromptMemory memory = memory(1, helper("e-1", 10), helper("e-2", 10));
-    Future<Void> had = memory.reserve();
-    orders.asked.removeFirst().complete(true);
-    orders.loseNext();
-    assertTrue(had.failed());
+    Future<Void> reservation = memory.reserve();
+    engineControl.pendingReserves.removeFirst().complete(true);
+    engineControl.failNext();
+    assertTrue(reservation.failed());
     assertEquals("e-2", memory.unreachable().orElseThrow().host());
   }
 
   @Test
-  void anEngineWithoutRoomIsNotNamed() {
+  void engineWithoutFreeMemoryIsNotReported() {
     PromptMemory memory = memory(1, helper("e-1", 10));
     memory.reserve();
-    orders.asked.removeFirst().complete(false);
+    engineControl.pendingReserves.removeFirst().complete(false);
     assertTrue(memory.unreachable().isEmpty());
   }
 
   @Test
-  void aReleaseIsNotOvertakenByTheRenewalBeforeIt() {
-    PromptMemory memory = held(helper("e-1", 10));
+  void releaseWaitsForThePendingRenewal() {
+    PromptMemory memory = reserved(helper("e-1", 10));
     clock.advance(PromptMemory.MIN_RENEWAL_MS);
     memory.renewOnEvidence(clock.nowMs());
     memory.release();
-    assertTrue(orders.released.isEmpty(), "released while a renewal is on its way");
-    orders.asked.removeFirst().complete(true);
-    assertEquals(List.of("e-1"), orders.released);
+    assertTrue(engineControl.released.isEmpty(), "released while a renewal is pending");
+    engineControl.pendingReserves.removeFirst().complete(true);
+    assertEquals(List.of("e-1"), engineControl.released);
   }
 
   @Test
-  void whatBecameOfTheMemoryIsTold() {
-    PromptMemory memory = held(helper("e-1", 10), helper("e-2", 10));
+  void usageReportsTheHistory() {
+    PromptMemory memory = reserved(helper("e-1", 10), helper("e-2", 10));
     clock.advance(PromptMemory.MIN_RENEWAL_MS);
     memory.renewOnEvidence(clock.nowMs());
-    orders.loseNext();
-    orders.grantAll();
+    engineControl.failNext();
+    engineControl.grantAll();
     clock.advance(300);
     assertEquals(
         new PromptMemory.Usage(List.of("e-1", "e-2"), PromptMemory.MIN_RENEWAL_MS + 300, 300, 4, 1),
@@ -297,38 +298,38 @@
   }
 
   @Test
-  void thoseThatHoldTheMemoryAreAskedInTurnWhetherItIsUsed() {
-    PromptMemory memory = held(helper("e-1", 10), helper("e-2", 10));
-    orders.used = orders.tickets;
+  void helpersAreProbedInTurn() {
+    PromptMemory memory = reserved(helper("e-1", 10), helper("e-2", 10));
+    engineControl.ticketsInUse = engineControl.tickets;
     for (int i = 0; i < 3; i++) {
       assertTrue(memory.checkStillUsed(IDLE).succeeded());
     }
-    assertEquals(List.of("e-1", "e-2", "e-1"), orders.questioned);
+    assertEquals(List.of("e-1", "e-2", "e-1"), engineControl.probedEngines);
   }
 
   @Test
-  void memoryThatNobodyUsesIsNoEvidence() {
-    PromptMemory memory = held(helper("e-1", 10));
+  void unusedMemoryIsNoEvidence() {
+    PromptMemory memory = reserved(helper("e-1", 10));
     assertInstanceOf(MemoryUnusedException.class, memory.checkStillUsed(IDLE).cause());
   }
 
   @Test
-  void nobodyIsAskedWithoutMemoryOrAfterItsEnd() {
+  void helpersAreNotProbedWithoutMemoryOrAfterRelease() {
     assertTrue(memory(1, helper("e-1", 0)).checkStillUsed(IDLE).succeeded());
-    PromptMemory memory = held(helper("e-1", 10));
+    PromptMemory memory = reserved(helper("e-1", 10));
     memory.release();
     assertTrue(memory.checkStillUsed(IDLE).succeeded());
-    assertTrue(orders.questioned.isEmpty());
+    assertTrue(engineControl.probedEngines.isEmpty());
   }
 
   @Test
-  void aRenewalThatIsLostAfterTheEndIsNotTriedAgain() {
-    PromptMemory memory = held(helper("e-1", 10));
+  void renewalLostAfterReleaseIsNotRepeated() {
+    PromptMemory memory = reserved(helper("e-1", 10));
     clock.advance(PromptMemory.MIN_RENEWAL_MS);
     memory.renewOnEvidence(clock.nowMs());
     memory.release();
-    orders.loseNext();
-    assertTrue(orders.asked.isEmpty());
-    assertEquals(List.of("e-1"), orders.released);
+    engineControl.failNext();
+    assertTrue(engineControl.pendingReserves.isEmpty());
+    assertEquals(List.of("e-1"), engineControl.released);
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDrainTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDrainTest.java
@@ -36,56 +36,58 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The last moments of a host that stops: it ends when what was open has its answers, however busy
- * it is, but before it would be killed. The host's clock is moved by hand.
+ * The end of a draining host: it exits when the open requests are answered, however busy it is, but
+ * before it would be killed. The test sets the host's clock.
  */
 class RelayDrainTest {
-  private static final long BEGUN_MS = 1_000;
+  private static final long STARTED_MS = 1_000;
 
-  /** After the time at which the host begins its end, in milliseconds from the order to stop. */
-  private static final long OVER_MS = 7_650;
+  /** After the time at which the host ends its drain, in milliseconds from the stop signal. */
+  private static final long EXPIRED_MS = 7_650;
 
-  /** When a host with a grace period of 8 s is gone at the latest, in the same. */
+  /** The latest exit of a host with a grace period of 8 s, in milliseconds from the stop signal. */
   private static final long GONE_MS = 7_850;
 
-  /** Just before the host begins to close resting connections, in the same. */
-  private static final long RESTING_CLOSE_MS = 2_499;
+  /**
+   * Just before the host starts to close idle connections, in milliseconds from the stop signal.
+   */
+  private static final long IDLE_CLOSE_MS = 2_499;
 
-  /** How long a connection on which nothing came yet is spared, in milliseconds. */
-  private static final long FRESH_MS = 300;
+  /** How long a connection without any request stays open, in milliseconds. */
+  private static final long NEW_CONNECTION_GRACE_MS = 300;
 
-  /** Timers of the host that were set long before this one fired before it, in milliseconds. */
+  /** Delay, in milliseconds, after which all timers that the host set earlier have fired. */
   private static final long AFTER_TIMERS_MS = 500;
 
-  private static final long LOOK_MS = 5;
+  private static final long POLL_MS = 5;
 
-  /** The time between two looks of a host that is awake, in milliseconds. */
-  private static final long AWAKE_LOOK_MS = 200;
+  /** The polling interval of a running host, in milliseconds. */
+  private static final long AWAKE_POLL_MS = 200;
 
-  /** How long a host stands still, in milliseconds. */
-  private static final long STILL_MS = 1_900;
+  /** How long a host is suspended, in milliseconds. */
+  private static final long SUSPENDED_MS = 1_900;
 
-  /** The longest wait for what must come, in seconds. */
-  private static final long LONGEST_S = 20;
+  /** The maximum wait for an expected event, in seconds. */
+  private static final long TIMEOUT_S = 20;
 
   private final HostLog log = new HostLog("test");
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
 
-  /** Held, because a client that nothing refers to is closed with what it sends. */
+  /** Kept in a field, because a client without references is closed together with its requests. */
   private final HttpClientAgent client = vertx.createHttpClient();
 
-  private final CountDownLatch heldUp = new CountDownLatch(1);
-  private final CompletableFuture<RelayServer.IncomingRequest> taken = new CompletableFuture<>();
+  private final CountDownLatch unblock = new CountDownLatch(1);
+  private final CompletableFuture<RelayServer.IncomingRequest> accepted = new CompletableFuture<>();
   private final RelayBounds bounds =
       new RelayBounds(false, 5_000, 2_000, 8_000, 0.2, 100, 10_000, 120);
-  private final AwakeTimes awake = new AwakeTimes(AWAKE_LOOK_MS);
-  private volatile long nowMs = BEGUN_MS;
+  private final AwakeTimes awake = new AwakeTimes(AWAKE_POLL_MS);
+  private volatile long nowMs = STARTED_MS;
   private HostAddress address;
   private RelayDuty decisions;
   private RelayServer callers;
   private RelayDrain drain;
 
-  /** Sends nothing a second time. */
+  /** Permits no retries. */
   private static final class NoRetries implements RetryBudget {
     @Override
     public void firstSend(RequestTarget target, long atMs) {}
@@ -96,8 +98,8 @@
     }
   }
 
-  /** Reads nothing from requests, which all look alike. */
-  private static final class BlindCodec implements RelayCodec {
+  /** Ignores the headers; all requests look alike. */
+  private static final class FixedCodec implements RelayCodec {
     @Override
     public RelayRequest read(MultiMap headers) {
       return new RelayRequest("r-1", Optional.empty(), 0, 0, 0, List.of(), 0);
@@ -147,7 +149,7 @@
             coordinator,
             clock,
             decision -> {},
-            news -> {},
+            update -> {},
             new NoOpEndpointEventPublisher(),
             endpoint -> {},
             log);
@@ -158,7 +160,7 @@
     RouteStore routes = new RouteStore((table, cells) -> {});
     callers =
         new RelayServer(
-            vertx, address, routes, new BlindCodec(), clock, taken::complete, null, () -> true);
+            vertx, address, routes, new FixedCodec(), clock, accepted::complete, null, () -> true);
     drain =
         new RelayDrain(
             vertx, callers, decisions, decisions::offer, () -> bounds, awake, clock, log);
@@ -166,55 +168,55 @@
 
   @AfterEach
   void closeAll() throws Exception {
-    heldUp.countDown();
-    soon(vertx.close());
+    unblock.countDown();
+    await(vertx.close());
   }
 
-  private static <T> T soon(CompletableFuture<T> future) throws Exception {
-    return future.get(LONGEST_S, TimeUnit.SECONDS);
+  private static <T> T await(CompletableFuture<T> future) throws Exception {
+    return future.get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
-  private static <T> T soon(Future<T> future) throws Exception {
-    return soon(future.toCompletionStage().toCompletableFuture());
+  private static <T> T await(Future<T> future) throws Exception {
+    return await(future.toCompletionStage().toCompletableFuture());
   }
 
-  /** Holds up the decisions' thread, as a host with much to do does. */
-  private void holdUp() throws Exception {
-    CompletableFuture<Void> held = new CompletableFuture<>();
+  /** Blocks the thread of the decision duty, like heavy load on a host. */
+  private void blockDecisions() throws Exception {
+    CompletableFuture<Void> blocked = new CompletableFuture<>();
     decisions.offer(
         new RelayEvent.WorkRequested(
             work -> {
-              held.complete(null);
+              blocked.complete(null);
               try {
-                heldUp.await();
+                unblock.await();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             }));
-    soon(held);
+    await(blocked);
   }
 
-  private void atMs(long sinceOrderMs) {
-    nowMs = BEGUN_MS + sinceOrderMs;
+  private void atMs(long sinceSignalMs) {
+    nowMs = STARTED_MS + sinceSignalMs;
   }
 
-  /** Waits until the host's event loop fired whatever it had set for the next moments. */
-  private void letTimersFire() throws Exception {
+  /** Waits until the event loop has run all timers that were due soon. */
+  private void runTimers() throws Exception {
     CompletableFuture<Void> fired = new CompletableFuture<>();
     vertx.setTimer(AFTER_TIMERS_MS, id -> fired.complete(null));
-    soon(fired);
+    await(fired);
   }
 
-  /** Waits until the host knows of its one connection. */
-  private void untilConnected() throws Exception {
+  /** Waits until the host has accepted its one connection. */
+  private void awaitConnection() throws Exception {
     CompletableFuture<Void> connected = new CompletableFuture<>();
-    whenConnected(() -> connected.complete(null));
-    soon(connected);
+    runWhenConnected(() -> connected.complete(null));
+    await(connected);
   }
 
-  private void whenConnected(Runnable step) {
+  private void runWhenConnected(Runnable step) {
     vertx.setPeriodic(
-        LOOK_MS,
+        POLL_MS,
         id -> {
           if (callers.connections() == 1 && vertx.cancelTimer(id)) {
             step.run();
@@ -222,133 +224,134 @@
         });
   }
 
-  private Future<HttpClientResponse> ask() {
+  private Future<HttpClientResponse> sendRequest() {
     return client
         .request(HttpMethod.GET, address.port(), address.ip(), "/")
         .compose(request -> request.send());
   }
 
   @Test
-  void theHostEndsOnlyAfterItsEndWasDecided() throws Exception {
+  void hostExitsOnlyAfterFinalAnswersWereDecided() throws Exception {
     CompletableFuture<Void> done = drain.start();
-    holdUp();
-    atMs(OVER_MS);
-    letTimersFire();
-    assertEquals(1, decisions.queuedEvents(), "the end waits for the decisions");
-    assertFalse(done.isDone(), "the host ends though nothing was decided about what is open");
-    heldUp.countDown();
-    soon(done);
+    blockDecisions();
+    atMs(EXPIRED_MS);
+    runTimers();
+    assertEquals(1, decisions.queuedEvents(), "the final answers wait for the decision duty");
+    assertFalse(done.isDone(), "the host exits before final answers were decided");
+    unblock.countDown();
+    await(done);
   }
 
   /**
-   * Seen: a host handled the order to stop 1.9 s late, after none of its threads had run for 1.45
-   * s, and was killed before it began its end.
+   * Guards against a late exit: a host handled the stop signal 1.9 s late, after none of its
+   * threads had run for 1.45 s, and was killed before it ended its drain.
    */
   @Test
-  void anOrderThatCameWhileTheHostStoodStillCountsFromItsLastLook() throws Exception {
-    soon(callers.listen());
-    ask();
-    soon(taken);
+  void stopSignalDuringASuspensionCountsFromTheLastPoll() throws Exception {
+    await(callers.listen());
+    sendRequest();
+    await(accepted);
     awake.looked(nowMs);
-    nowMs += STILL_MS;
+    nowMs += SUSPENDED_MS;
     CompletableFuture<Void> done = drain.start();
     atMs(GONE_MS);
-    soon(done);
+    await(done);
   }
 
   @Test
-  void theHostEndsOnlyAfterTheAnswersLeft() throws Exception {
-    soon(callers.listen());
-    Future<HttpClientResponse> answer = ask();
-    RelayServer.IncomingRequest request = soon(taken);
+  void hostExitsOnlyAfterAnswersAreSent() throws Exception {
+    await(callers.listen());
+    Future<HttpClientResponse> answer = sendRequest();
+    RelayServer.IncomingRequest request = await(accepted);
     CompletableFuture<Void> done = drain.start();
-    atMs(OVER_MS);
-    letTimersFire();
-    assertFalse(done.isDone(), "the host ends though a caller has no answer");
+    atMs(EXPIRED_MS);
+    runTimers();
+    assertFalse(done.isDone(), "the host exits although a caller has no answer");
     vertx.runOnContext(v -> request.http().response().setStatusCode(502).end());
-    assertEquals(502, soon(answer).statusCode());
-    soon(done);
+    assertEquals(502, await(answer).statusCode());
+    await(done);
   }
 
-  /** Has a caller connect before it is decided about what is open, when nothing is. */
+  /** Lets a caller connect before the final answers are decided, while no requests are open. */
   private void connectBeforeDecided(RelayEvent event, CompletableFuture<NetSocket> caller) {
     if (event instanceof RelayEvent.DrainEnding) {
       vertx
           .createNetClient()
           .connect(address.port(), address.ip())
-          .onSuccess(socket -> whenConnected(() -> offerAndTell(event, caller, socket)));
+          .onSuccess(socket -> runWhenConnected(() -> offerAndComplete(event, caller, socket)));
     } else {
       decisions.offer(event);
     }
   }
 
-  private void offerAndTell(
+  private void offerAndComplete(
       RelayEvent event, CompletableFuture<NetSocket> caller, NetSocket socket) {
     decisions.offer(event);
     caller.complete(socket);
   }
 
   /**
-   * Seen: a host read a request 60 ms after it had said that it stopped, refused it, and ended
-   * before the refusal had left; the caller saw a closed connection.
+   * Guards against an exit before the last answer is sent: a host read a request 60 ms after it had
+   * logged the end of its drain, refused it, and exited before the refusal was sent; the caller saw
+   * a closed connection.
    */
   @Test
-  void theHostEndsOnlyAfterTheAnswerToWhatItReadLast() throws Exception {
+  void hostExitsOnlyAfterTheLastReadRequestIsAnswered() throws Exception {
     CompletableFuture<NetSocket> caller = new CompletableFuture<>();
-    Consumer<RelayEvent> orders = event -> connectBeforeDecided(event, caller);
+    Consumer<RelayEvent> events = event -> connectBeforeDecided(event, caller);
     drain =
-        new RelayDrain(vertx, callers, decisions, orders, () -> bounds, awake, () -> nowMs, log);
-    soon(callers.listen());
+        new RelayDrain(vertx, callers, decisions, events, () -> bounds, awake, () -> nowMs, log);
+    await(callers.listen());
     CompletableFuture<Void> done = drain.start();
-    atMs(RESTING_CLOSE_MS + 1);
-    NetSocket socket = soon(caller);
-    letTimersFire();
-    assertFalse(done.isDone(), "the host ends though a request may be about to come");
+    atMs(IDLE_CLOSE_MS + 1);
+    NetSocket socket = await(caller);
+    runTimers();
+    assertFalse(done.isDone(), "the host exits although a request may be about to arrive");
     socket.write("GET / HTTP/1.1\r\nhost: h\r\n\r\n");
-    RelayServer.IncomingRequest request = soon(taken);
-    atMs(OVER_MS);
-    letTimersFire();
-    assertFalse(done.isDone(), "the host ends though it read a request and gave no answer");
+    RelayServer.IncomingRequest request = await(accepted);
+    atMs(EXPIRED_MS);
+    runTimers();
+    assertFalse(done.isDone(), "the host exits although it read a request and sent no answer");
     vertx.runOnContext(v -> request.http().response().setStatusCode(503).end());
-    soon(done);
+    await(done);
   }
 
   @Test
-  void aConnectionThatWasJustOpenedIsNotClosedBeforeItsRequestCanCome() throws Exception {
-    soon(callers.listen());
+  void newConnectionIsNotClosedBeforeItsRequestCanArrive() throws Exception {
+    await(callers.listen());
     CompletableFuture<Void> done = drain.start();
-    atMs(RESTING_CLOSE_MS);
+    atMs(IDLE_CLOSE_MS);
     CompletableFuture<Void> closed = new CompletableFuture<>();
-    soon(vertx.createNetClient().connect(address.port(), address.ip()))
+    await(vertx.createNetClient().connect(address.port(), address.ip()))
         .closeHandler(v -> closed.complete(null));
-    untilConnected();
-    atMs(RESTING_CLOSE_MS + FRESH_MS - 1);
-    letTimersFire();
-    assertFalse(closed.isDone(), "closed before its first request could come");
-    assertFalse(done.isDone(), "the host ends though a request may be about to come");
-    atMs(RESTING_CLOSE_MS + FRESH_MS);
-    soon(closed);
-    soon(done);
+    awaitConnection();
+    atMs(IDLE_CLOSE_MS + NEW_CONNECTION_GRACE_MS - 1);
+    runTimers();
+    assertFalse(closed.isDone(), "closed before its first request could arrive");
+    assertFalse(done.isDone(), "the host exits although a request may be about to arrive");
+    atMs(IDLE_CLOSE_MS + NEW_CONNECTION_GRACE_MS);
+    await(closed);
+    await(done);
   }
 
   @Test
-  void theHostIsGoneBeforeItIsKilledWhateverHoldsItUp() throws Exception {
-    soon(callers.listen());
-    ask();
-    soon(taken);
+  void hostExitsBeforeItIsKilledDespiteDelays() throws Exception {
+    await(callers.listen());
+    sendRequest();
+    await(accepted);
     CompletableFuture<Void> done = drain.start();
-    holdUp();
+    blockDecisions();
     atMs(GONE_MS);
-    soon(done);
+    await(done);
   }
 
   @Test
-  void aHostWithAlmostNoGracePeriodIsGoneToo() throws Exception {
+  void hostWithMinimalGracePeriodExits() throws Exception {
     RelayBounds shortest = new RelayBounds(false, 5_000, 2_000, 100, 0.2, 100, 10_000, 120);
     drain =
         new RelayDrain(
             vertx, callers, decisions, decisions::offer, () -> shortest, awake, () -> nowMs, log);
-    holdUp();
-    soon(drain.start());
+    blockDecisions();
+    await(drain.start());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDutyTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDutyTest.java
@@ -39,13 +39,13 @@
 import org.fawndrum.transport.Exchange;
 import org.junit.jupiter.api.Test;
 
-/** What the decisions' thread makes of the endpoints' entries and of what others tell of them. */
+/** How the decision duty handles the endpoints' entries and peers' reports about endpoints. */
 class RelayDutyTest {
-  private static final long PATIENCE_S = 20;
+  private static final long TIMEOUT_S = 20;
   private static final HostIdentity SELF = new HostIdentity("host-1", 1);
-  private static final RequestAims AIMS = new RequestAims(2_500, 1_000, 2);
+  private static final RequestAims TARGETS = new RequestAims(2_500, 1_000, 2);
 
-  private final BlockingQueue<String> orders = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> actions = new LinkedBlockingQueue<>();
   private final RelayDuty duty =
       new RelayDuty(
           new RequestCoordinator(
@@ -54,26 +54,26 @@
               Policies.engineModel(new EarnedRetryBudget(0.1, 10), () -> false, Set::of)),
           () -> 1_000,
           decision -> {},
-          news -> {},
+          update -> {},
           new NoOpEndpointEventPublisher(),
           endpoint -> {},
           new HostLog("test"));
 
-  /** A caller's request that writes down what is ordered for it. */
-  private final class Caller implements Exchange {
+  /** An exchange that records the actions executed on it. */
+  private final class RecordingExchange implements Exchange {
     @Override
     public void send(Action.Send send) {
-      orders.add("send to " + send.endpoint().identity());
+      actions.add("send to " + send.endpoint().identity());
     }
 
     @Override
     public void cancel(Action.Cancel cancel) {
-      orders.add("cancel");
+      actions.add("cancel");
     }
 
     @Override
     public void refuse(Refusal refusal) {
-      orders.add("refuse");
+      actions.add("refuse");
     }
 
     @Override
@@ -98,7 +98,7 @@
             RouteKind.STREAM,
             true,
             60_000,
-            AIMS,
+            TARGETS,
             1,
             true,
             List.of(new WeightedService("pool", 1)));
@@ -111,7 +111,7 @@
         new CallerLimits(4_096, 65_536, 1_000, 15_000));
   }
 
-  private void begin(String service, String entryNames) {
+  private void startDuty(String service, String entryNames) {
     duty.start();
     RouteTable routes = routes(service);
     duty.offer(new RelayEvent.RoutesChanged(routes, RouteRows.of(routes)));
@@ -127,7 +127,7 @@
         new RelayEvent.ListingChanged(new HostListing(1, List.of(engine), Set.of(), List.of())));
   }
 
-  private void ask() {
+  private void offerRequest() {
     RequestFacts facts =
         new RequestFacts(
             "r-1",
@@ -139,43 +139,43 @@
             0,
             true,
             List.of(),
-            AIMS);
-    duty.offerRequest(new RelayEvent.RequestArrived(facts), new Caller());
+            TARGETS);
+    duty.offerRequest(new RelayEvent.RequestArrived(facts), new RecordingExchange());
   }
 
-  private String next() throws InterruptedException {
-    return orders.poll(PATIENCE_S, TimeUnit.SECONDS);
+  private String nextAction() throws InterruptedException {
+    return actions.poll(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @Test
-  void workThatAnotherHostPlacesAtALaterStartSaysThatTheEarlierOneIsOver() throws Exception {
-    begin("pool", "pool");
-    ask();
-    assertEquals("send to e-1#1", next());
+  void workPlacedByAPeerRevealsARestart() throws Exception {
+    startDuty("pool", "pool");
+    offerRequest();
+    assertEquals("send to e-1#1", nextAction());
     HostIdentity later = new HostIdentity("e-1", 2);
-    EngineJob job = new EngineJob(7, later, 1_000, 1_000, 1, true, AIMS, 1_000);
+    EngineJob job = new EngineJob(7, later, 1_000, 1_000, 1, true, TARGETS, 1_000);
     HostIdentity other = new HostIdentity("host-2", 1);
     FleetReport report =
         new FleetReport(other, Optional.empty(), 1, "", false, List.of(new EngineNews.Placed(job)));
     duty.offer(new RelayEvent.ReportsReceived(List.of(report)));
-    assertEquals("cancel", next());
-    assertEquals("send to e-1#2", next());
+    assertEquals("cancel", nextAction());
+    assertEquals("send to e-1#2", nextAction());
   }
 
   @Test
-  void anEndpointThatSaysItselfThatItStartedAgainIsUsedAsANewOne() throws Exception {
-    begin("pool", "pool");
-    ask();
-    assertEquals("send to e-1#1", next());
+  void endpointThatReportsARestartIsUsedAsANewIncarnation() throws Exception {
+    startDuty("pool", "pool");
+    offerRequest();
+    assertEquals("send to e-1#1", nextAction());
     duty.offer(new RelayEvent.EndpointRestarted(new HostIdentity("e-1", 2)));
-    assertEquals("cancel", next());
-    assertEquals("send to e-1#2", next());
+    assertEquals("cancel", nextAction());
+    assertEquals("send to e-1#2", nextAction());
   }
 
   @Test
-  void anEntryOfAServiceThatNoConfigurationNamesNamesNoEndpoint() throws Exception {
-    begin("other", "pool");
-    ask();
-    assertEquals("refuse", next());
+  void entryOfAnUnknownServiceIsUnusable() throws Exception {
+    startDuty("other", "pool");
+    offerRequest();
+    assertEquals("refuse", nextAction());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/ReportBufferTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/ReportBufferTest.java
@@ -9,7 +9,7 @@
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
-/** When gathered reports are passed on. */
+/** When buffered reports are due. */
 class ReportBufferTest {
   private static final HostIdentity FROM = new HostIdentity("host-1", 1);
 
@@ -21,14 +21,14 @@
   }
 
   @Test
-  void wholeReportsWaitForTheNextSignOfLife() {
+  void completeReportsWaitForTheMaximumInterval() {
     buffer.drain(1_000);
     buffer.add(List.of(report(1, true)), 1_010);
     assertEquals(1_300, buffer.dueMs(2));
   }
 
   @Test
-  void changesArePassedOnSoonAndLaterToManyReceivers() {
+  void changesAreDueSoonerForFewReceivers() {
     buffer.drain(1_000);
     buffer.add(List.of(report(1, false)), 1_020);
     buffer.add(List.of(report(2, false)), 1_025);
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void drainingEmptiesInOrder() {
+  void drainReturnsReportsInOrder() {
     buffer.add(List.of(report(1, true), report(2, false)), 1_000);
     assertEquals(List.of(report(1, true), report(2, false)), buffer.drain(1_010));
     assertEquals(List.of(), buffer.drain(1_020));
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/SettingsWatchTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/SettingsWatchTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Settings that change while a host runs, and settings that make no sense. */
+/** Settings that change while a host runs, and invalid settings. */
 class SettingsWatchTest {
   @TempDir Path folder;
 
@@ -35,13 +35,13 @@
   }
 
   @Test
-  void seedsAreReachedOnThePortForPeers() throws Exception {
+  void seedsUseThePeerPort() throws Exception {
     RelaySettings settings = new ReadRelaySettings(write(text("127.0.0.1:5", 5_000))).call();
     assertEquals("10.0.0.1:3", settings.seeds().get(0).toString());
   }
 
   @Test
-  void allFaultsAreNamedAtOnce() throws Exception {
+  void allFaultsAreReported() throws Exception {
     Path file = write(text("somewhere", 0));
     BadSettingsException bad =
         assertThrows(BadSettingsException.class, () -> new ReadRelaySettings(file).call());
@@ -49,14 +49,14 @@
   }
 
   @Test
-  void onlyWhatChangedAndMakesSenseIsTakenOver() throws Exception {
+  void onlyChangedAndValidSettingsAreApplied() throws Exception {
     Path file = write(text("127.0.0.1:5", 5_000));
-    List<Long> taken = new ArrayList<>();
+    List<Long> applied = new ArrayList<>();
     SettingsWatch watch =
         new SettingsWatch(
             file,
             new ReadRelaySettings(file).call(),
-            newer -> taken.add(newer.bounds().revokeMs()),
+            newer -> applied.add(newer.bounds().revokeMs()),
             new HostLog("test"));
     watch.read();
     write(text("127.0.0.1:5", 4_000));
@@ -65,6 +65,6 @@
     watch.read();
     write(text("127.0.0.1:5", 3_000));
     watch.read();
-    assertEquals(List.of(4_000L, 3_000L), taken);
+    assertEquals(List.of(4_000L, 3_000L), applied);
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/TopicFollowerTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/TopicFollowerTest.java
@@ -20,25 +20,25 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What answers of the store prove, and what follows when records are gone. */
+/** What answers of the store confirm, and what follows when records have expired. */
 class TopicFollowerTest {
   private static final KeyedRecord RECORD = new KeyedRecord(3, "config", new byte[] {1});
 
-  /** Up to what age a host need not read itself, in milliseconds. */
-  private static final long OLDEST_MS = 3_000;
+  /** The age up to which a host need not read the log itself, in milliseconds. */
+  private static final long MAX_AGE_MS = 3_000;
 
   private final Vertx vertx = Vertx.vertx();
-  private final Questions questions = new Questions();
-  private final List<Long> proved = new ArrayList<>();
-  private final List<Long> whole = new ArrayList<>();
+  private final ManualLog log = new ManualLog();
+  private final List<Long> confirmed = new ArrayList<>();
+  private final List<Long> snapshots = new ArrayList<>();
   private long nowMs = 10_000;
-  private volatile boolean speaks = true;
+  private volatile boolean leader = true;
   private volatile long ageMs;
-  private volatile StorePosition toldTo = StorePosition.NONE;
+  private volatile StorePosition knownEnd = StorePosition.NONE;
 
-  /** A store that is answered by hand. */
-  private static final class Questions implements KeyedLog {
-    final Deque<CompletableFuture<KeyedPage>> open = new ArrayDeque<>();
+  /** A store whose answers the test provides. */
+  private static final class ManualLog implements KeyedLog {
+    final Deque<CompletableFuture<KeyedPage>> pending = new ArrayDeque<>();
     final List<Long> waits = new ArrayList<>();
     final List<Long> reads = new ArrayList<>();
     volatile int newest;
@@ -46,23 +46,23 @@
     @Override
     public CompletableFuture<KeyedPage> newest(Topic topic) {
       newest++;
-      return ask();
+      return query();
     }
 
     @Override
     public CompletableFuture<KeyedPage> read(Topic topic, long from, long waitMs) {
       waits.add(waitMs);
       reads.add(from);
-      return ask();
+      return query();
     }
 
-    private CompletableFuture<KeyedPage> ask() {
-      open.addLast(new CompletableFuture<>());
-      return open.getLast();
+    private CompletableFuture<KeyedPage> query() {
+      pending.addLast(new CompletableFuture<>());
+      return pending.getLast();
     }
 
     void answer(KeyedPage page) {
-      open.removeFirst().complete(page);
+      pending.removeFirst().complete(page);
     }
   }
 
@@ -71,52 +71,52 @@
         new TopicFollower.Reader() {
           @Override
           public StorePosition knownEnd() {
-            return toldTo;
+            return knownEnd;
           }
 
           @Override
           public void storeAvailable() {}
 
           @Override
-          public void applySnapshot(KeyedPage page, long askedMs) {
-            whole.add(askedMs);
+          public void applySnapshot(KeyedPage page, long queriedMs) {
+            snapshots.add(queriedMs);
           }
 
           @Override
-          public void applyChanges(KeyedPage page, long provedMs) {
-            proved.add(provedMs);
+          public void applyChanges(KeyedPage page, long confirmedMs) {
+            confirmed.add(confirmedMs);
           }
         };
     new TopicFollower(
             vertx,
-            questions,
+            log,
             KeyedLog.Topic.OPERATORS,
             new TopicFollower.Timing(1_500, 0),
-            new LogReadSchedule(() -> speaks, () -> ageMs, () -> OLDEST_MS),
+            new LogReadSchedule(() -> leader, () -> ageMs, () -> MAX_AGE_MS),
             reader,
             () -> nowMs,
             new HostLog("test"))
         .start();
   }
 
-  /** Lets so much time pass, in milliseconds. */
-  private void later(long afterMs) throws Exception {
-    CompletableFuture<Void> later = new CompletableFuture<>();
-    vertx.setTimer(afterMs, id -> later.complete(null));
-    later.get();
+  /** Waits for this many milliseconds. */
+  private void elapsed(long afterMs) throws Exception {
+    CompletableFuture<Void> elapsed = new CompletableFuture<>();
+    vertx.setTimer(afterMs, id -> elapsed.complete(null));
+    elapsed.get();
   }
 
-  /** Waits until the newest records were asked for so often. */
-  private void untilNewestIsAsked(int times) throws Exception {
-    CompletableFuture<Void> asked = new CompletableFuture<>();
+  /** Waits until the newest records were queried this many times. */
+  private void awaitNewestQueries(int times) throws Exception {
+    CompletableFuture<Void> queried = new CompletableFuture<>();
     vertx.setPeriodic(
         5,
         id -> {
-          if (questions.newest == times) {
-            asked.complete(null);
+          if (log.newest == times) {
+            queried.complete(null);
           }
         });
-    asked.get(20, TimeUnit.SECONDS);
+    queried.get(20, TimeUnit.SECONDS);
   }
 
   @AfterEach
@@ -125,115 +125,115 @@
   }
 
   @Test
-  void anAnswerWithRecordsProvesOnlyTheTimeOfTheQuestion() {
+  void answerWithRecordsConfirmsTheTimeOfTheQuery() {
     start();
-    questions.answer(new KeyedPage(List.of(), 3));
+    log.answer(new KeyedPage(List.of(), 3));
     nowMs += 900;
-    questions.answer(new KeyedPage(List.of(RECORD), 4));
-    assertEquals(List.of(10_000L), whole);
-    assertEquals(List.of(10_000L), proved);
+    log.answer(new KeyedPage(List.of(RECORD), 4));
+    assertEquals(List.of(10_000L), snapshots);
+    assertEquals(List.of(10_000L), confirmed);
   }
 
   @Test
-  void anEmptyAnswerAfterTheWaitProvesTheWaitsEnd() {
+  void emptyAnswerAfterTheWaitConfirmsItsEnd() {
     start();
-    questions.answer(new KeyedPage(List.of(), 3));
+    log.answer(new KeyedPage(List.of(), 3));
     nowMs += 1_510;
-    questions.answer(new KeyedPage(List.of(), 3));
-    assertEquals(List.of(11_450L), proved);
+    log.answer(new KeyedPage(List.of(), 3));
+    assertEquals(List.of(11_450L), confirmed);
   }
 
   @Test
-  void anEmptyAnswerBeforeTheWaitIsOverProvesNoMoreThanTheQuestion() {
+  void emptyAnswerBeforeTheWaitEndsConfirmsTheTimeOfTheQuery() {
     start();
-    questions.answer(new KeyedPage(List.of(), 3));
+    log.answer(new KeyedPage(List.of(), 3));
     nowMs += 700;
-    questions.answer(new KeyedPage(List.of(), 3));
-    assertEquals(List.of(10_000L), proved);
+    log.answer(new KeyedPage(List.of(), 3));
+    assertEquals(List.of(10_000L), confirmed);
   }
 
   @Test
-  void afterALateRecordTheNextQuestionDoesNotWait() {
+  void queryAfterALateRecordDoesNotWait() {
     start();
-    questions.answer(new KeyedPage(List.of(), 3));
+    log.answer(new KeyedPage(List.of(), 3));
     nowMs += 1_200;
-    questions.answer(new KeyedPage(List.of(RECORD), 4));
-    assertEquals(List.of(1_500L, 0L), questions.waits);
+    log.answer(new KeyedPage(List.of(RECORD), 4));
+    assertEquals(List.of(1_500L, 0L), log.waits);
   }
 
   @Test
-  void anOlderEndIsNotTaken() {
+  void olderPageIsIgnored() {
     start();
-    questions.answer(new KeyedPage(List.of(), 9));
-    questions.answer(new KeyedPage(List.of(RECORD), 4));
-    assertTrue(proved.isEmpty());
+    log.answer(new KeyedPage(List.of(), 9));
+    log.answer(new KeyedPage(List.of(RECORD), 4));
+    assertTrue(confirmed.isEmpty());
   }
 
   @Test
-  void aHostThatIsToldEnoughDoesNotRead() throws Exception {
-    speaks = false;
-    ageMs = OLDEST_MS - 1;
+  void upToDateHostDoesNotRead() throws Exception {
+    leader = false;
+    ageMs = MAX_AGE_MS - 1;
     start();
-    later(300);
-    assertEquals(0, questions.newest);
+    elapsed(300);
+    assertEquals(0, log.newest);
   }
 
   @Test
-  void aHostWhoseKnowledgeBecameTooOldReadsItself() throws Exception {
-    speaks = false;
+  void outdatedHostReads() throws Exception {
+    leader = false;
     start();
-    ageMs = OLDEST_MS + 1;
-    untilNewestIsAsked(1);
+    ageMs = MAX_AGE_MS + 1;
+    awaitNewestQueries(1);
   }
 
   @Test
-  void readingGoesOnAfterWhatOthersTold() {
+  void readingContinuesAfterPeersUpdates() {
     start();
-    questions.answer(new KeyedPage(List.of(), 3));
-    toldTo = new StorePosition(0, 9);
-    questions.answer(new KeyedPage(List.of(), 3));
-    assertEquals(List.of(3L, 9L), questions.reads);
+    log.answer(new KeyedPage(List.of(), 3));
+    knownEnd = new StorePosition(0, 9);
+    log.answer(new KeyedPage(List.of(), 3));
+    assertEquals(List.of(3L, 9L), log.reads);
   }
 
   @Test
-  void whenRecordsAreGoneTheNewestAreRead() throws Exception {
+  void newestRecordsAreReadWhenRecordsExpired() throws Exception {
     start();
-    questions.answer(new KeyedPage(List.of(), 3));
-    questions.open.removeFirst().completeExceptionally(new RecordsExpiredException(3, 8));
-    untilNewestIsAsked(2);
+    log.answer(new KeyedPage(List.of(), 3));
+    log.pending.removeFirst().completeExceptionally(new RecordsExpiredException(3, 8));
+    awaitNewestQueries(2);
   }
 
   @Test
-  void whenTheStoreHasGoneBackTheNewestAreReadAndNothingOfThePageCounts() throws Exception {
+  void newestRecordsAreReadAfterARestoreAndThePageIsIgnored() throws Exception {
     start();
-    questions.answer(new KeyedPage(List.of(), 9, 1));
-    questions.answer(new KeyedPage(List.of(RECORD), 12, 2));
-    untilNewestIsAsked(2);
-    assertEquals(List.of(), proved);
-    questions.answer(new KeyedPage(List.of(RECORD), 4, 2));
-    assertEquals(2, whole.size());
-    assertEquals(List.of(9L, 4L), questions.reads);
+    log.answer(new KeyedPage(List.of(), 9, 1));
+    log.answer(new KeyedPage(List.of(RECORD), 12, 2));
+    awaitNewestQueries(2);
+    assertEquals(List.of(), confirmed);
+    log.answer(new KeyedPage(List.of(RECORD), 4, 2));
+    assertEquals(2, snapshots.size());
+    assertEquals(List.of(9L, 4L), log.reads);
   }
 
   @Test
-  void anAnswerOfAnEarlierEraIsNotTakenAndTheNextQuestionComesAfterAPause() throws Exception {
+  void answerOfAPreviousEpochIsIgnoredAndTheNextQueryDelayed() throws Exception {
     start();
-    questions.answer(new KeyedPage(List.of(), 3, 2));
-    questions.answer(new KeyedPage(List.of(RECORD), 90, 1));
-    assertTrue(proved.isEmpty());
-    assertEquals(List.of(3L), questions.reads);
-    later(300);
-    assertEquals(List.of(3L, 3L), questions.reads);
+    log.answer(new KeyedPage(List.of(), 3, 2));
+    log.answer(new KeyedPage(List.of(RECORD), 90, 1));
+    assertTrue(confirmed.isEmpty());
+    assertEquals(List.of(3L), log.reads);
+    elapsed(300);
+    assertEquals(List.of(3L, 3L), log.reads);
   }
 
   @Test
-  void readingGoesOnInTheEraThatOthersTold() {
+  void readingContinuesInTheEpochOfPeersUpdates() {
     start();
-    questions.answer(new KeyedPage(List.of(), 90, 1));
-    toldTo = new StorePosition(2, 7);
-    questions.answer(new KeyedPage(List.of(), 90, 1));
-    questions.answer(new KeyedPage(List.of(RECORD), 8, 2));
-    assertEquals(List.of(90L, 7L, 8L), questions.reads);
-    assertEquals(1, whole.size());
+    log.answer(new KeyedPage(List.of(), 90, 1));
+    knownEnd = new StorePosition(2, 7);
+    log.answer(new KeyedPage(List.of(), 90, 1));
+    log.answer(new KeyedPage(List.of(RECORD), 8, 2));
+    assertEquals(List.of(90L, 7L, 8L), log.reads);
+    assertEquals(1, snapshots.size());
   }
 }
