--- a/org.fawndrum/src/org/fawndrum/transport/relay/AttemptOwner.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/AttemptOwner.java
@@ -12,7 +12,7 @@
   /** Called before the request is written to the connection; bytes may be sent from now on. */
   void handedOver();
 
-  /** Called when the endpoint's whole answer arrived. */
+  /** Called when the endpoint's complete answer arrived. */
   void answered(RelayAttempt attempt, RelayExchange.WholeAnswer answer);
 
   /** Called when a complete event arrived; returns false if it cannot follow the previous event. */
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayAttempt.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayAttempt.java
@@ -22,7 +22,6 @@
  * it is cancelled. Confined to its owner's event loop.
  */
 final class RelayAttempt {
-  /** The lowest HTTP status of a server-side failure. */
   static final int MIN_FAILURE_STATUS = 500;
 
   private static final int MIN_SUCCESS_STATUS = 200;
