--- /dev/null
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PeerStoreSync.java
@@ -0,0 +1,218 @@
+// SPDX-License-Identifier: Apache-2.0
+package org.fawndrum.transport.relay;
+
+import com.google.protobuf.ByteString;
+import io.vertx.core.Context;
+import io.vertx.core.Vertx;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.ThreadLocalRandom;
+import org.fawndrum.coordination.membership.FleetMember;
+import org.fawndrum.internal.log.HostLog;
+import org.fawndrum.internal.log.LogEvent;
+import org.fawndrum.protocol.KeyedPage;
+import org.fawndrum.protocol.KeyedPage.KeyedRecord;
+import org.fawndrum.protocol.PeerCodec;
+import org.fawndrum.protocol.StorePosition;
+import org.fawndrum.protocol.wire.KnowledgeReply;
+import org.fawndrum.protocol.wire.KnowledgeRequest;
+import org.fawndrum.protocol.wire.PeerMessage;
+import org.fawndrum.protocol.wire.StoreRecord;
+import org.fawndrum.state.HostAddress;
+import org.fawndrum.state.HostIdentity;
+import org.fawndrum.transport.HostClock;
+import org.fawndrum.transport.peer.PeerNetwork;
+
+/**
+ * Synchronizes the cached store state with other daemons: as a rule with the zone leader, and with
+ * any other daemon if that is not enough. State of a peer counts as confirmed at the time of the
+ * query minus the age that the peer reports, so that only this host's clock matters. Confined to
+ * one event loop, except {@link #reply} and {@link #peerUpdated}, which are thread-safe.
+ */
+final class PeerStoreSync implements FleetReceiver.StoreSync {
+  /**
+   * Interval of queries to the zone leader, as a fraction of the drain limit: together with the
+   * leader's own polling interval, it is below the age at which a host reads the store itself.
+   */
+  private static final double POLL_FRACTION = 0.25;
+
+  /** Age of the cached state from which on any peer is queried, in milliseconds. */
+  private static final long MAX_AGE_MS = 2_200;
+
+  private final HostIdentity self;
+  private final PeerNetwork network;
+  private final FleetDuty fleet;
+  private final RouteStore routes;
+  private final ConfigurationReader configuration;
+  private final EndpointReader endpoints;
+  private final HostClock clock;
+  private final HostLog log;
+  private final Set<HostAddress> pendingPeers = new HashSet<>();
+  private final PeerPositions peerPositions = new PeerPositions();
+  private volatile Context eventLoop;
+
+  PeerStoreSync(
+      HostIdentity self,
+      PeerNetwork network,
+      FleetDuty fleet,
+      RouteStore routes,
+      ConfigurationReader configuration,
+      EndpointReader endpoints,
+      HostClock clock,
+      HostLog log) {
+    this.self = self;
+    this.network = network;
+    this.fleet = fleet;
+    this.routes = routes;
+    this.configuration = configuration;
+    this.endpoints = endpoints;
+    this.clock = clock;
+    this.log = log;
+  }
+
+  /**
+   * Starts polling.
+   *
+   * @param drainMs the drain limit, in milliseconds
+   */
+  void start(Vertx vertx, long drainMs) {
+    eventLoop = vertx.getOrCreateContext();
+    vertx.setPeriodic(Math.max(1, Math.round(drainMs * POLL_FRACTION)), id -> poll());
+  }
+
+  private void poll() {
+    HostAddress leader = fleet.zoneLeader();
+    if (leader != null) {
+      query(leader);
+    }
+    long nowMs = clock.nowMs();
+    boolean stale = routes.ageMs(nowMs) > MAX_AGE_MS || endpoints.ageMs(nowMs) > MAX_AGE_MS;
+    List<HostAddress> peers = fleet.livePeers();
+    if (stale && !peers.isEmpty()) {
+      query(peers.get(ThreadLocalRandom.current().nextInt(peers.size())));
+    }
+  }
+
+  @Override
+  public void peerUpdated(FleetMember peer, StorePositions positions) {
+    boolean endpointsChanged =
+        peerPositions.positionReported(peer, positions.endpointsChanged(), endpoints.knownEnd());
+    boolean newer =
+        endpointsChanged || positions.configurationRevision() > routes.table().revision();
+    Context context = eventLoop;
+    if (newer && context != null) {
+      context.runOnContext(v -> query(peer.address()));
+    }
+  }
+
+  /** Queries a peer, unless a query to it is pending. */
+  private void query(HostAddress peer) {
+    if (!pendingPeers.add(peer)) {
+      return;
+    }
+    PeerPositions.Query query = peerPositions.query(peer, endpoints.knownEnd());
+    KnowledgeRequest request =
+        KnowledgeRequest.newBuilder()
+            .setConfigurationRevision(routes.table().revision())
+            .setEndpointsEra(query.known().era())
+            .setEndpointsEnd(query.known().offset())
+            .build();
+    long queriedMs = clock.nowMs();
+    network
+        .ask(peer, PeerCodec.from(self).setKnowledgeRequest(request))
+        .whenComplete(
+            (reply, failure) ->
+                eventLoop.runOnContext(v -> replyReceived(peer, query, queriedMs, reply, failure)));
+  }
+
+  private void replyReceived(
+      HostAddress peer,
+      PeerPositions.Query query,
+      long queriedMs,
+      PeerMessage reply,
+      Throwable failure) {
+    pendingPeers.remove(peer);
+    if (failure == null) {
+      applyConfiguration(reply.getKnowledgeReply(), queriedMs);
+      if (query.isAnsweredBy(reply.getFromIncarnation())) {
+        applyEndpoints(reply.getKnowledgeReply(), queriedMs);
+        peerPositions.replyApplied(peer, query);
+      }
+    } else {
+      log.event(LogEvent.PEER_GAVE_NOTHING, peer, String.valueOf(failure));
+    }
+  }
+
+  private void applyConfiguration(KnowledgeReply reply, long queriedMs) {
+    boolean decoded =
+        !reply.hasConfiguration() || configuration.apply(record(reply.getConfiguration()));
+    boolean upToDate = routes.table().revision() >= reply.getConfigurationRevision();
+    // A peer that reads the store of an earlier epoch cannot confirm a configuration for a host
+    // that knows a later one.
+    boolean oldEpoch = reply.getEndpointsEra() < endpoints.knownEnd().era();
+    if (decoded && upToDate && !oldEpoch && reply.getConfigurationAgeMs() >= 0) {
+      routes.confirm(queriedMs - reply.getConfigurationAgeMs());
+    }
+  }
+
+  private void applyEndpoints(KnowledgeReply reply, long queriedMs) {
+    StorePosition end = new StorePosition(reply.getEndpointsEra(), reply.getEndpointsEnd());
+    if (endpoints.knownEnd().isAfter(end) || !end.isKnown() || reply.getEndpointsAgeMs() < 0) {
+      return;
+    }
+    long confirmedMs = queriedMs - reply.getEndpointsAgeMs();
+    if (reply.getEndpointsLeftOut()) {
+      endpoints.confirm(end, confirmedMs);
+      return;
+    }
+    List<KeyedRecord> records =
+        reply.getEndpointsList().stream().map(PeerStoreSync::record).toList();
+    KeyedPage page = new KeyedPage(records, end.offset(), end.era());
+    if (reply.getEndpointsChangesOnly()) {
+      endpoints.applyChanges(page, confirmedMs);
+    } else {
+      endpoints.applySnapshot(page, confirmedMs);
+    }
+  }
+
+  @Override
+  public PeerMessage.Builder reply(KnowledgeRequest request) {
+    long nowMs = clock.nowMs();
+    long ageMs = routes.ageMs(nowMs);
+    StorePosition end = endpoints.knownEnd();
+    StorePosition peers = new StorePosition(request.getEndpointsEra(), request.getEndpointsEnd());
+    boolean unchanged = end.era() == peers.era() && !endpoints.lastChange().isAfter(peers);
+    KnowledgeReply.Builder reply =
+        KnowledgeReply.newBuilder()
+            .setConfigurationAgeMs(ageMs)
+            .setConfigurationRevision(routes.table().revision())
+            .setEndpointsEra(end.era())
+            .setEndpointsEnd(end.offset())
+            .setEndpointsAgeMs(end.isKnown() ? endpoints.ageMs(nowMs) : -1)
+            .setEndpointsLeftOut(unchanged);
+    KeyedRecord newest = configuration.newest();
+    if (newest != null && routes.table().revision() > request.getConfigurationRevision()) {
+      reply.setConfiguration(record(newest));
+    }
+    if (!unchanged) {
+      Optional<List<KeyedRecord>> changes = endpoints.changesSince(peers);
+      reply.setEndpointsChangesOnly(changes.isPresent());
+      changes.orElseGet(endpoints::records).forEach(changed -> reply.addEndpoints(record(changed)));
+    }
+    return PeerCodec.from(self).setKnowledgeReply(reply);
+  }
+
+  private static StoreRecord record(KeyedRecord record) {
+    return StoreRecord.newBuilder()
+        .setOffset(record.offset())
+        .setKey(record.key())
+        .setValue(ByteString.copyFrom(record.value()))
+        .build();
+  }
+
+  private static KeyedRecord record(StoreRecord record) {
+    return new KeyedRecord(record.getOffset(), record.getKey(), record.getValue().toByteArray());
+  }
+}
--- /dev/null
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/NoOpEndpointEventPublisher.java
@@ -0,0 +1,25 @@
+// SPDX-License-Identifier: Apache-2.0
+package org.fawndrum.transport.relay;
+
+import java.util.List;
+import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.state.HostAddress;
+import org.fawndrum.state.HostIdentity;
+
+/** For hosts without peers in tests. */
+final class NoOpEndpointEventPublisher implements EndpointEventPublisher {
+  @Override
+  public void publishCrashes(CrashNews crashes) {
+    // There are no peers.
+  }
+
+  @Override
+  public void sendAllCrashes(HostAddress to, CrashNews all) {
+    // There are no peers.
+  }
+
+  @Override
+  public void publishShutdowns(List<HostIdentity> endpoints) {
+    // There are no peers.
+  }
+}
