--- a/org.fawndrum/src/org/fawndrum/internal/duty/Duty.java
+++ b/org.fawndrum/src/org/fawndrum/internal/duty/Duty.java
@@ -7,17 +7,19 @@
 import org.fawndrum.internal.log.LogEvent;
 
 /**
- * A thread with one duty: it takes events from its ring in order and ticks when its ticker wants
- * to. A failure in one event is logged and does not end the duty.
+ * A daemon thread that polls events from a bounded ring, handles them in order and runs a periodic
+ * tick. A runtime exception from the handler or the ticker is logged and does not end the thread.
  *
- * @param <E> the events
+ * @param <E> the type of the events
  */
 public final class Duty<E> implements AutoCloseable {
-  private static final int BATCH = 256;
+  /** Maximum number of events handled between two checks of the tick time. */
+  private static final int MAX_BATCH = 256;
+
   private static final long NANOS_PER_MS = 1_000_000;
 
-  /** The pause before a tick that failed runs again, in milliseconds. */
-  private static final long AFTER_FAILURE_MS = 100;
+  /** Delay before the next tick after a tick that threw, in milliseconds. */
+  private static final long FAILED_TICK_RETRY_MS = 100;
 
   private final String name;
   private final Ring<E> ring;
@@ -28,35 +30,40 @@
   private final Thread thread;
   private volatile boolean stopping;
 
-  /** Work that the duty does by itself, on its own thread. */
+  /** Periodic work that runs on the thread of the duty. */
   public interface Ticker {
-    /** Does what is due and returns in how many milliseconds it wants to run again, at least 1. */
+    /**
+     * Runs the work that is due.
+     *
+     * @return the delay until the next tick in milliseconds; values below 1 count as 1
+     */
     long tick();
   }
 
   /**
-   * Makes a duty that has not started and that ticks at a steady interval.
+   * Creates a duty that ticks at a fixed interval. The thread runs once {@link #start} is called.
    *
-   * @param name the thread's name
-   * @param ring where its events come from
-   * @param handler handles one event, on the duty's thread
-   * @param tick runs on the duty's thread
+   * @param name the name of the thread
+   * @param ring the ring from which the events are polled
+   * @param handler handles one event; runs on the duty's thread
+   * @param tick the periodic work; runs on the duty's thread
    * @param tickMs the interval between ticks, in milliseconds
-   * @param log where failures go
+   * @param log the log for exceptions of the handler and the ticker
    */
   public Duty(
       String name, Ring<E> ring, Consumer<E> handler, Runnable tick, long tickMs, HostLog log) {
-    this(name, ring, handler, steadily(tick, tickMs), false, log);
+    this(name, ring, handler, atFixedInterval(tick, tickMs), false, log);
   }
 
   /**
-   * Makes a duty that has not started and that sleeps until its ticker's next time or an event.
+   * Creates a duty that ticks after each batch of events and after the delay that its ticker
+   * returned. The thread runs once {@link #start} is called.
    *
-   * @param name the thread's name
-   * @param ring where its events come from
-   * @param handler handles one event, on the duty's thread
-   * @param ticker runs on the duty's thread, after events too
-   * @param log where failures go
+   * @param name the name of the thread
+   * @param ring the ring from which the events are polled
+   * @param handler handles one event; runs on the duty's thread
+   * @param ticker the periodic work; runs on the duty's thread
+   * @param log the log for exceptions of the handler and the ticker
    */
   public Duty(String name, Ring<E> ring, Consumer<E> handler, Ticker ticker, HostLog log) {
     this(name, ring, handler, ticker, true, log);
@@ -79,7 +86,7 @@
     this.thread.setDaemon(true);
   }
 
-  private static Ticker steadily(Runnable tick, long tickMs) {
+  private static Ticker atFixedInterval(Runnable tick, long tickMs) {
     return () -> {
       tick.run();
       return tickMs;
@@ -91,35 +98,35 @@
     thread.start();
   }
 
-  /** Offers new work; see {@link Ring#offerNew}. */
+  /** Offers an event of new work and wakes the thread; see {@link Ring#offerNew}. */
   public boolean offerNew(E event) {
-    boolean taken = ring.offerNew(event);
-    if (taken) {
+    boolean accepted = ring.offerNew(event);
+    if (accepted) {
       LockSupport.unpark(thread);
     }
-    return taken;
+    return accepted;
   }
 
-  /** Offers an event about work already taken; see {@link Ring#offer}. */
+  /** Offers an event of accepted work and wakes the thread; see {@link Ring#offer}. */
   public boolean offer(E event) {
-    boolean taken = ring.offer(event);
-    if (taken) {
+    boolean accepted = ring.offer(event);
+    if (accepted) {
       LockSupport.unpark(thread);
     }
-    return taken;
+    return accepted;
   }
 
-  /** Returns the duty's name. */
+  /** Returns the name of the duty, which is also the thread's name. */
   public String name() {
     return name;
   }
 
-  /** Returns the ring. */
+  /** Returns the ring from which this duty polls its events. */
   public Ring<E> ring() {
     return ring;
   }
 
-  /** Ends the thread; events still in the ring are not handled. */
+  /** Stops the thread and waits for it; events still in the ring are not handled. */
   @Override
   public void close() {
     stopping = true;
@@ -133,36 +140,36 @@
       long now = System.nanoTime();
       boolean due = now - nextTick >= 0 || tickAfterEvents && handled > 0;
       if (due) {
-        nextTick = now + ticked() * NANOS_PER_MS;
+        nextTick = now + runTick() * NANOS_PER_MS;
       } else if (handled == 0) {
         LockSupport.parkNanos(nextTick - now);
       }
     }
   }
 
-  private long ticked() {
+  private long runTick() {
     try {
       return Math.max(1, ticker.tick());
     } catch (RuntimeException e) {
       log.failure(LogEvent.DUTY_FAILED, e, name);
-      return AFTER_FAILURE_MS;
+      return FAILED_TICK_RETRY_MS;
     }
   }
 
   private int handleBatch() {
     int handled = 0;
-    while (handled < BATCH) {
+    while (handled < MAX_BATCH) {
       E event = ring.poll();
       if (event == null) {
         break;
       }
-      guarded(event);
+      handleSafely(event);
       handled++;
     }
     return handled;
   }
 
-  private void guarded(E event) {
+  private void handleSafely(E event) {
     try {
       handler.accept(event);
     } catch (RuntimeException e) {
--- a/org.fawndrum/src/org/fawndrum/internal/duty/Ring.java
+++ b/org.fawndrum/src/org/fawndrum/internal/duty/Ring.java
@@ -5,39 +5,49 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * A bounded ring that many threads offer to and one thread polls. A full ring refuses; it never
- * blocks and never grows. A part of it is kept for events that must not be refused as lightly as
- * new work.
+ * A bounded ring buffer with many producers and one consumer. It never blocks and never grows: an
+ * offer to a full ring is refused. New work may fill only part of the capacity; the rest is
+ * reserved for events of work that was accepted earlier, so that load does not block its
+ * completion.
  *
- * @param <E> the events
+ * @param <E> the type of the events
  */
 public final class Ring<E> {
-  private static final int KEPT_PARTS = 8;
+  /** One part in this many of the capacity is reserved for events of accepted work. */
+  private static final int RESERVED_DIVISOR = 8;
 
   private final MpscArrayQueue<E> queue;
-  private final int openCapacity;
+  private final int newWorkCapacity;
   private final AtomicLong refused = new AtomicLong();
 
   /**
-   * Makes an empty ring.
+   * Creates an empty ring.
    *
-   * @param capacity how many events it holds; a power of two, at least 8
+   * @param capacity the maximum number of events; a power of two, at least 8
    */
   public Ring(int capacity) {
     queue = new MpscArrayQueue<>(capacity);
-    openCapacity = capacity - capacity / KEPT_PARTS;
+    newWorkCapacity = capacity - capacity / RESERVED_DIVISOR;
   }
 
-  /** Offers new work; refused when only the kept part is free. Returns whether it was taken. */
+  /**
+   * Offers an event of new work, which is refused when only the reserved part is free.
+   *
+   * @return whether the event was added
+   */
   public boolean offerNew(E event) {
-    if (queue.offerIfBelowThreshold(event, openCapacity)) {
+    if (queue.offerIfBelowThreshold(event, newWorkCapacity)) {
       return true;
     }
     refused.incrementAndGet();
     return false;
   }
 
-  /** Offers an event about work already taken. Returns whether it was taken. */
+  /**
+   * Offers an event of work that was accepted earlier, which may use the reserved part.
+   *
+   * @return whether the event was added
+   */
   public boolean offer(E event) {
     if (queue.offer(event)) {
       return true;
@@ -46,17 +56,17 @@
     return false;
   }
 
-  /** Takes the oldest event, or null when there is none. For the duty's thread only. */
+  /** Removes and returns the oldest event, or null when empty. Only for the consumer thread. */
   public E poll() {
     return queue.poll();
   }
 
-  /** Returns how many offers were refused since the start. */
+  /** Returns the number of offers refused since this ring was created. */
   public long refused() {
     return refused.get();
   }
 
-  /** Returns about how many events wait. */
+  /** Returns the approximate number of queued events. */
   public int size() {
     return queue.size();
   }
--- a/org.fawndrum/src/org/fawndrum/internal/duty/StopThread.java
+++ b/org.fawndrum/src/org/fawndrum/internal/duty/StopThread.java
@@ -3,17 +3,20 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-/** Ends a thread that was told to stop: wakes it and waits a while for its end. */
+/** Unparks a thread whose stop flag is set and waits for it to terminate. */
 public final class StopThread {
-  private static final long JOIN_MS = 2_000;
+  private static final long MAX_JOIN_MS = 2_000;
 
   private StopThread() {}
 
-  /** Waits for a thread's end, at most two seconds. */
+  /**
+   * Waits until a thread terminates, for two seconds at most. If the caller is interrupted, this
+   * returns at once with the interrupt flag set.
+   */
   public static void call(Thread thread) {
     LockSupport.unpark(thread);
     try {
-      thread.join(JOIN_MS);
+      thread.join(MAX_JOIN_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/org.fawndrum/src/org/fawndrum/internal/duty/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/internal/duty/package-info.java
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: Apache-2.0
-/** Threads with one duty each, joined by bounded rings. */
+/** Threads with an event queue and a periodic tick; the queues are bounded ring buffers. */
 package org.fawndrum.internal.duty;
--- a/org.fawndrum/src/org/fawndrum/internal/log/HostLog.java
+++ b/org.fawndrum/src/org/fawndrum/internal/log/HostLog.java
@@ -4,25 +4,28 @@
 import org.jboss.logging.Logger;
 import org.jboss.logging.MDC;
 
-/** The log of a process. Each line has the id of its message and, where there is one, a request. */
+/**
+ * Log of a process. Each line starts with the id of its message; a line about a request carries the
+ * request id in the MDC. Safe for all threads.
+ */
 public final class HostLog {
   private static final String REQUEST = "request";
 
   private final Logger logger;
 
-  /** Makes a log of the given category. */
+  /** Creates a log that writes to the logger of a category. */
   public HostLog(String category) {
     logger = Logger.getLogger(category);
   }
 
-  /** Writes a message that concerns no request. */
+  /** Logs a message that is not about a single request. */
   public void event(LogEvent event, Object... arguments) {
     if (logger.isEnabled(event.level())) {
       logger.logv(event.level(), event.id() + ' ' + event.pattern(), arguments);
     }
   }
 
-  /** Writes a message about a request. */
+  /** Logs a message about a request, whose id is put into the MDC for this line. */
   public void request(String requestId, LogEvent event, Object... arguments) {
     if (logger.isEnabled(event.level())) {
       MDC.put(REQUEST, requestId);
@@ -31,12 +34,12 @@
     }
   }
 
-  /** Writes a message with named values. */
+  /** Logs a message with named values, which the JSON formatter writes as an object. */
   public void details(LogEvent event, LogDetails details) {
     logger.logv(event.level(), event.id() + ' ' + event.pattern(), details);
   }
 
-  /** Writes a message with the failure that led to it. */
+  /** Logs a message with the exception that caused it. */
   public void failure(LogEvent event, Throwable cause, Object... arguments) {
     logger.logv(event.level(), cause, event.id() + ' ' + event.pattern(), arguments);
   }
--- a/org.fawndrum/src/org/fawndrum/internal/log/LineBudget.java
+++ b/org.fawndrum/src/org/fawndrum/internal/log/LineBudget.java
@@ -2,41 +2,41 @@
 package org.fawndrum.internal.log;
 
 /**
- * Bounds how many lines of one kind are written a second, and counts those left out. Safe for all
- * threads.
+ * Rate limiter for log lines of one kind: allows a maximum number of lines in each second and
+ * counts the suppressed ones. Safe for all threads.
  */
 public final class LineBudget {
   private static final long MS_PER_SECOND = 1_000;
 
   private final int linesPerSecond;
-  private long second = Long.MIN_VALUE;
+  private long currentSecond = Long.MIN_VALUE;
   private int written;
-  private long leftOut;
+  private long suppressed;
 
-  /** Makes a budget of so many lines in each second. */
+  /** Creates a limiter that allows {@code linesPerSecond} lines in each second of the clock. */
   public LineBudget(int linesPerSecond) {
     this.linesPerSecond = linesPerSecond;
   }
 
-  /** Takes a line; returns whether it may be written. */
+  /** Returns whether a line may be written now; a line that may not is counted as suppressed. */
   public synchronized boolean take(long nowMs) {
-    long now = nowMs / MS_PER_SECOND;
-    if (now != second) {
-      second = now;
+    long second = nowMs / MS_PER_SECOND;
+    if (second != currentSecond) {
+      currentSecond = second;
       written = 0;
     }
     if (written < linesPerSecond) {
       written++;
       return true;
     }
-    leftOut++;
+    suppressed++;
     return false;
   }
 
-  /** Returns how many lines were left out since the last call. */
+  /** Returns the number of lines suppressed since the last call and resets it. */
   public synchronized long takeLeftOut() {
-    long count = leftOut;
-    leftOut = 0;
+    long count = suppressed;
+    suppressed = 0;
     return count;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/internal/text/MessageText.java
+++ b/org.fawndrum/src/org/fawndrum/internal/text/MessageText.java
@@ -5,7 +5,9 @@
 import java.util.Locale;
 import java.util.ResourceBundle;
 
-/** A text of the message bundle. Each constant has an entry of the same name in the bundle. */
+/**
+ * Key of an exception message. The resource bundle has an entry under the name of each constant.
+ */
 public enum MessageText {
   ADDRESS_UNAVAILABLE,
   BAD_CELLS,
@@ -32,7 +34,7 @@
   private static final ResourceBundle BUNDLE =
       ResourceBundle.getBundle("org.fawndrum.internal.text.messages", Locale.ROOT);
 
-  /** Returns the text with its arguments filled in. */
+  /** Returns the text of the bundle with its placeholders replaced by {@code arguments}. */
   public String format(Object... arguments) {
     return new MessageFormat(BUNDLE.getString(name()), Locale.ROOT).format(arguments);
   }
--- a/org.fawndrum/src/org/fawndrum/internal/text/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/internal/text/package-info.java
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: Apache-2.0
-/** The texts that people read, kept in one bundle behind typed constants. */
+/** Exception messages in a resource bundle, with an enum of their keys. */
 package org.fawndrum.internal.text;
--- a/org.fawndrum/tst/org/fawndrum/internal/duty/RingTest.java
+++ b/org.fawndrum/tst/org/fawndrum/internal/duty/RingTest.java
@@ -10,10 +10,10 @@
 import org.jetbrains.lincheck.datastructures.StressOptions;
 import org.junit.jupiter.api.Test;
 
-/** The ring under threads, and what it refuses. */
+/** Linearizability of {@link Ring} under concurrent use, and the capacity reserved in it. */
 class RingTest {
-  /** The ring as Lincheck drives it: many offer, one polls. */
-  public static final class Driven {
+  /** The operations that Lincheck runs: concurrent offers and polls by one thread at a time. */
+  public static final class RingOperations {
     private final Ring<Integer> ring = new Ring<>(8);
 
     /** Offers an event. */
@@ -22,7 +22,7 @@
       return ring.offer(event);
     }
 
-    /** Takes the oldest event; for one thread only. */
+    /** Polls the oldest event; never run by two threads at once. */
     @Operation(nonParallelGroup = "poller")
     public Integer poll() {
       return ring.poll();
@@ -36,27 +36,27 @@
         .invocationsPerIteration(2_000)
         .threads(3)
         .actorsPerThread(3)
-        .check(Driven.class);
+        .check(RingOperations.class);
   }
 
   @Test
-  void linearizableInTheModel() {
+  void linearizableUnderModelChecking() {
     new ModelCheckingOptions()
         .iterations(5)
         .invocationsPerIteration(1_000)
         .threads(3)
         .actorsPerThread(2)
-        .check(Driven.class);
+        .check(RingOperations.class);
   }
 
   @Test
-  void newWorkLeavesRoomForWorkAlreadyTaken() {
+  void newWorkLeavesCapacityForEventsOfAcceptedWork() {
     Ring<Integer> ring = new Ring<>(16);
-    int taken = 0;
-    while (ring.offerNew(taken)) {
-      taken++;
+    int accepted = 0;
+    while (ring.offerNew(accepted)) {
+      accepted++;
     }
-    assertEquals(14, taken);
+    assertEquals(14, accepted);
     assertTrue(ring.offer(100));
     assertTrue(ring.offer(101));
     assertFalse(ring.offer(102));
--- a/org.fawndrum/tst/org/fawndrum/internal/text/MessageTextTest.java
+++ b/org.fawndrum/tst/org/fawndrum/internal/text/MessageTextTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Each text of the bundle can be read. */
+/** Every {@link MessageText} has an entry in the resource bundle. */
 class MessageTextTest {
   @ParameterizedTest
   @EnumSource(MessageText.class)
