--- a/org.fawndrum/src/org/fawndrum/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/package-info.java
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: Apache-2.0
-/** The library of fawndrum: a serving layer for prompts of very unlike lengths. */
+/** Library of fawndrum, a serving layer for prompts of widely varying lengths. */
 package org.fawndrum;
--- a/org.fawndrum/src/org/fawndrum/transport/AttemptListener.java
+++ b/org.fawndrum/src/org/fawndrum/transport/AttemptListener.java
@@ -4,8 +4,8 @@
 import org.fawndrum.coordination.AttemptEvent;
 import org.fawndrum.coordination.AttemptId;
 
-/** Is told what happens to attempts. Called on event loops; must not block. */
+/** Receives the events of attempts. Called on event loops; must not block. */
 public interface AttemptListener {
-  /** Takes one event; the order for one attempt is the order of the calls. */
+  /** Handles one event. The events of one attempt arrive in the order in which they occurred. */
   void happened(AttemptId attempt, AttemptEvent event);
 }
--- a/org.fawndrum/src/org/fawndrum/transport/BodyReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/BodyReader.java
@@ -9,56 +9,56 @@
 import org.fawndrum.coordination.RefusalKind;
 import org.fawndrum.errors.RefusedException;
 
-/** Reads a caller's body up to a size and within a time. */
+/** Reads request bodies up to a maximum size, with a timeout between two chunks. */
 public final class BodyReader {
   private final Vertx vertx;
-  private final long mostBytes;
+  private final long maxBytes;
   private final long silenceMs;
 
   /**
-   * Makes a reader.
+   * Creates a reader.
    *
-   * @param mostBytes the longest body
-   * @param silenceMs how long its sender may be silent, in milliseconds
+   * @param maxBytes the maximum size of a body in bytes
+   * @param silenceMs the maximum time between two chunks of a body, in milliseconds
    */
-  public BodyReader(Vertx vertx, long mostBytes, long silenceMs) {
+  public BodyReader(Vertx vertx, long maxBytes, long silenceMs) {
     this.vertx = vertx;
-    this.mostBytes = mostBytes;
+    this.maxBytes = maxBytes;
     this.silenceMs = silenceMs;
   }
 
   /**
-   * Gives the whole body; fails with {@code RefusedException} when it is too large or its sender
-   * falls silent.
+   * Reads the whole body. The future fails with {@code RefusedException} when the body is too
+   * large, the sender is silent for too long or the connection fails.
    */
   public CompletableFuture<Buffer> read(HttpServerRequest request, String requestId) {
-    CompletableFuture<Buffer> whole = new CompletableFuture<>();
+    CompletableFuture<Buffer> result = new CompletableFuture<>();
     Buffer body = Buffer.buffer();
     long[] timer = {-1};
-    Runnable heard =
+    Runnable restartTimer =
         () -> {
           vertx.cancelTimer(timer[0]);
           timer[0] =
               vertx.setTimer(
-                  silenceMs, id -> fail(whole, requestId, RefusalKind.REQUEST_INCOMPLETE));
+                  silenceMs, id -> fail(result, requestId, RefusalKind.REQUEST_INCOMPLETE));
         };
-    heard.run();
+    restartTimer.run();
     request.handler(
-        piece -> {
-          heard.run();
-          if (body.length() + (long) piece.length() > mostBytes) {
-            fail(whole, requestId, RefusalKind.BODY_TOO_LARGE);
-          } else if (!whole.isDone()) {
-            body.appendBuffer(piece);
+        chunk -> {
+          restartTimer.run();
+          if (body.length() + (long) chunk.length() > maxBytes) {
+            fail(result, requestId, RefusalKind.BODY_TOO_LARGE);
+          } else if (!result.isDone()) {
+            body.appendBuffer(chunk);
           }
         });
-    request.endHandler(v -> whole.complete(body));
-    request.exceptionHandler(cause -> fail(whole, requestId, RefusalKind.REQUEST_INCOMPLETE));
-    whole.whenComplete((done, failure) -> vertx.cancelTimer(timer[0]));
-    return whole;
+    request.endHandler(v -> result.complete(body));
+    request.exceptionHandler(cause -> fail(result, requestId, RefusalKind.REQUEST_INCOMPLETE));
+    result.whenComplete((done, failure) -> vertx.cancelTimer(timer[0]));
+    return result;
   }
 
-  private static void fail(CompletableFuture<Buffer> whole, String requestId, RefusalKind kind) {
-    whole.completeExceptionally(new RefusedException(requestId, Refusal.notRun(kind)));
+  private static void fail(CompletableFuture<Buffer> result, String requestId, RefusalKind kind) {
+    result.completeExceptionally(new RefusedException(requestId, Refusal.notRun(kind)));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/CallerResponse.java
+++ b/org.fawndrum/src/org/fawndrum/transport/CallerResponse.java
@@ -9,16 +9,16 @@
 import org.fawndrum.protocol.ErrorBodies;
 import org.fawndrum.protocol.Json;
 
-/** Writes final answers to callers, whatever state the response is in. */
+/** Writes refusals to callers, in any state of the response. */
 final class CallerResponse {
   private static final long MS_PER_SECOND = 1000;
-  private static final long CLOSE_MS = 250;
+  private static final long SHUTDOWN_TIMEOUT_MS = 250;
 
   private CallerResponse() {}
 
   /**
-   * Writes a refusal. When a streamed answer has begun, an error event is written and the
-   * connection closed without the end mark, so that a cut answer never looks whole.
+   * Writes a refusal. If a streamed answer has started, writes an error event and resets the
+   * connection without the end marker, so that a truncated answer does not look complete.
    */
   static void refuse(HttpServerResponse response, String requestId, Refusal refusal) {
     if (response.ended() || response.closed()) {
@@ -35,7 +35,7 @@
         .putHeader("x-request-id", requestId)
         .putHeader("x-fawndrum-ran", refusal.ran().word());
     if (refusal.kind() == RefusalKind.DRAINING) {
-      // The caller is to come back at once, but to another host.
+      // Makes the caller reconnect, and a retry reach another host.
       response.putHeader("connection", "close");
     }
     if (refusal.retryAfterMs() >= 0) {
@@ -48,12 +48,13 @@
     response.end(body);
   }
 
-  /** Writes a refusal to a request that was not read to its end, and closes the connection. */
+  /** Writes a refusal to a request whose body was not fully read, and closes the connection. */
   static void refuseAndClose(HttpServerRequest request, String requestId, Refusal refusal) {
     request.response().putHeader("connection", "close");
     refuse(request.response(), requestId, refusal);
-    // The rest of the request will not be read, so nothing else can follow on this connection. The
-    // caller gets a moment to read the answer before the connection is closed under its writes.
-    request.connection().shutdown(CLOSE_MS, TimeUnit.MILLISECONDS);
+    // The rest of the request is not read, so the connection cannot be reused. The caller gets 250
+    // ms
+    // to read the response before the connection is closed while it still writes.
+    request.connection().shutdown(SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/CallerServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/CallerServer.java
@@ -17,13 +17,15 @@
 import org.fawndrum.settings.HostSettings;
 import org.fawndrum.state.CallerGroup;
 
-/** The callers' HTTP address: reads requests, finds out who calls, and hands them on. */
+/**
+ * HTTP server for callers: reads and authenticates requests and passes them to an {@link Intake}.
+ */
 final class CallerServer {
   /** The path of model requests. */
   static final String CHAT_PATH = "/v1/chat/completions";
 
-  /** How long a connection may rest between requests, in milliseconds. */
-  private static final long KEPT_ALIVE_MS = 60_000;
+  /** Maximum idleConnections time of a connection between two requests, in milliseconds. */
+  private static final long KEEP_ALIVE_MS = 60_000;
 
   private final Vertx vertx;
   private final HttpServer server;
@@ -31,23 +33,31 @@
   private final Keyring<CallerKey> keys;
   private final RequestIds ids;
   private final Intake intake;
-  private final IdleConnections idle;
+  private final IdleConnections idleConnections;
   private final TrustedConnections connections;
 
-  /** Takes requests whose caller is known and whose body is whole. */
+  /** Accepts complete requests of authenticated callers. */
   interface Intake {
-    /** Takes a chat request. Throws {@code RefusedException} when it cannot be one. */
+    /**
+     * Accepts a chat request.
+     *
+     * @throws RefusedException if the request is invalid or cannot be admitted
+     */
     void chat(Call call);
 
-    /** Takes a call of a plain service. Throws {@code RefusedException} when nothing serves it. */
+    /**
+     * Accepts a call of a plain service.
+     *
+     * @throws RefusedException if no route matches or it cannot be admitted
+     */
     void plain(Call call);
   }
 
   /**
-   * A whole request of a known caller.
+   * A complete request of an authenticated caller.
    *
-   * @param trusted whether its connection was opened after this host was registered, so that a
-   *     first sending on it cannot have been overtaken by a later one elsewhere
+   * @param trusted whether its connection was opened after this host was registered; only then does
+   *     a retry count of 0 prove that no other copy was sent through another host before
    */
   record Call(
       String requestId,
@@ -65,14 +75,14 @@
         new BodyReader(vertx, settings.limits().bodyBytes(), settings.limits().incompleteMs());
     this.keys = new Keyring<>(settings.callerKeys(), CallerKey::key);
     this.connections = new TrustedConnections(vertx);
-    this.idle =
-        new IdleConnections(vertx, () -> settings.limits().incompleteMs(), () -> KEPT_ALIVE_MS);
+    this.idleConnections =
+        new IdleConnections(vertx, () -> settings.limits().incompleteMs(), () -> KEEP_ALIVE_MS);
     this.server =
         vertx
             .createHttpServer(ServerOptions.of(settings.callers(), settings.limits().headerBytes()))
             .requestHandler(this::handle)
             .invalidRequestHandler(this::invalid)
-            .connectionHandler(this::opened);
+            .connectionHandler(this::connectionOpened);
   }
 
   Future<HttpServer> listen() {
@@ -87,18 +97,18 @@
     return server.actualPort();
   }
 
-  /** Takes note that this host is registered: connections opened from now on are trusted. */
+  /** Called once this host is registered: connections opened later are trusted. */
   void registered() {
     connections.registered();
   }
 
-  private void opened(HttpConnection connection) {
+  private void connectionOpened(HttpConnection connection) {
     connections.opened(connection);
-    idle.opened(connection);
+    idleConnections.opened(connection);
     connection.closeHandler(
         v -> {
           connections.closed(connection);
-          idle.closed(connection);
+          idleConnections.closed(connection);
         });
   }
 
@@ -108,8 +118,8 @@
   }
 
   private void handle(HttpServerRequest request) {
-    idle.began(request.connection());
-    request.response().endHandler(v -> idle.ended(request.connection()));
+    idleConnections.began(request.connection());
+    request.response().endHandler(v -> idleConnections.ended(request.connection()));
     String requestId = ids.next();
     Optional<CallerKey> key = keys.owner(request.getHeader("authorization"));
     if (key.isEmpty()) {
@@ -120,7 +130,7 @@
         .read(request, requestId)
         .thenAccept(
             body ->
-                take(
+                dispatch(
                     new Call(
                         requestId,
                         key.get().group(),
@@ -135,7 +145,7 @@
             });
   }
 
-  private void take(Call call) {
+  private void dispatch(Call call) {
     boolean chat = CHAT_PATH.equals(call.request().path());
     if (chat && call.request().method() == HttpMethod.POST) {
       intake.chat(call);
@@ -145,11 +155,11 @@
   }
 
   private void refuse(HttpServerRequest request, String requestId, Refusal refusal) {
-    boolean unread =
+    boolean bodyUnread =
         refusal.kind() == RefusalKind.BODY_TOO_LARGE
             || refusal.kind() == RefusalKind.REQUEST_INCOMPLETE
             || refusal.kind() == RefusalKind.UNKNOWN_KEY;
-    if (unread) {
+    if (bodyUnread) {
       CallerResponse.refuseAndClose(request, requestId, refusal);
       return;
     }
--- a/org.fawndrum/src/org/fawndrum/transport/ChatAnswerWriter.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ChatAnswerWriter.java
@@ -13,7 +13,7 @@
 import org.fawndrum.protocol.ChatMessages.Usage;
 import org.fawndrum.protocol.Json;
 
-/** Writes an answer in the chat-completions form, as server-sent events or whole. */
+/** Writes a chat completion, as server-sent events or as one JSON body. */
 final class ChatAnswerWriter {
   private static final long MS_PER_SECOND = 1000;
   private static final String STOP = "stop";
@@ -21,8 +21,8 @@
   private final HttpServerResponse response;
   private final RequestFacts facts;
   private final boolean streamed;
-  private final StringBuilder whole = new StringBuilder();
-  private boolean begun;
+  private final StringBuilder text = new StringBuilder();
+  private boolean started;
 
   ChatAnswerWriter(HttpServerResponse response, RequestFacts facts, boolean streamed) {
     this.response = response;
@@ -30,23 +30,23 @@
     this.streamed = streamed;
   }
 
-  /** Writes pieces of the answer, or keeps them when it is wanted whole. */
-  void write(List<String> pieces) {
+  /** Writes chunks of the answer, or buffers them when the caller did not ask for a stream. */
+  void write(List<String> chunks) {
     if (!streamed) {
-      pieces.forEach(whole::append);
+      chunks.forEach(text::append);
       return;
     }
     StringBuilder events = new StringBuilder();
-    if (!begun) {
-      begin();
+    if (!started) {
+      start();
       events.append(event(new Delta("assistant", ""), null));
     }
-    pieces.forEach(piece -> events.append(event(new Delta(null, piece), null)));
+    chunks.forEach(chunk -> events.append(event(new Delta(null, chunk), null)));
     response.write(events.toString());
   }
 
-  private void begin() {
-    begun = true;
+  private void start() {
+    started = true;
     response
         .setChunked(true)
         .putHeader("content-type", "text/event-stream")
@@ -65,14 +65,14 @@
     return "data: " + Json.write(chunk) + "\n\n";
   }
 
-  /** Writes the end of a whole answer of {@code count} tokens. */
+  /** Completes an answer of {@code count} tokens. */
   void end(long count) {
     if (response.ended() || response.closed()) {
       return;
     }
     if (streamed) {
-      if (!begun) {
-        begin();
+      if (!started) {
+        start();
       }
       response.end(event(new Delta(null, null), STOP) + "data: [DONE]\n\n");
       return;
@@ -83,7 +83,7 @@
             "chat.completion",
             facts.arrivedMs() / MS_PER_SECOND,
             facts.target().name(),
-            List.of(new CompletionChoice(0, new Answer("assistant", whole.toString()), STOP)),
+            List.of(new CompletionChoice(0, new Answer("assistant", text.toString()), STOP)),
             new Usage(facts.promptTokens(), count, facts.promptTokens() + count));
     response
         .putHeader("content-type", "application/json")
--- a/org.fawndrum/src/org/fawndrum/transport/ChatExchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ChatExchange.java
@@ -13,7 +13,10 @@
 import org.fawndrum.protocol.EngineMessages.StreamEvent;
 import org.fawndrum.protocol.EngineMessages.StreamOrder;
 
-/** A chat request on its way: attempts on engines in, one whole answer or a typed failure out. */
+/**
+ * A chat request in progress: runs attempts on engines and writes one complete answer or a refusal.
+ * Confined to the event loop of its caller's connection.
+ */
 final class ChatExchange implements Exchange, EngineStream.Listener {
   private final RequestFacts facts;
   private final String prompt;
@@ -21,14 +24,14 @@
   private final Context context;
   private final EngineCalls engines;
   private final AttemptListener attempts;
-  private final StreamTimes times;
+  private final TokenListener tokenListener;
   private final ChatAnswerWriter writer;
   private final AnswerAssembler assembler = new AnswerAssembler();
   private EngineStream stream;
-  private Action.Send sent;
-  private boolean over;
-  private boolean answering;
-  private boolean handedOver;
+  private Action.Send current;
+  private boolean completed;
+  private boolean firstTokenReported;
+  private boolean requestSent;
 
   ChatExchange(
       RequestFacts facts,
@@ -38,14 +41,14 @@
       Context context,
       EngineCalls engines,
       AttemptListener attempts,
-      StreamTimes times) {
+      TokenListener tokenListener) {
     this.facts = facts;
     this.prompt = prompt;
     this.response = response;
     this.context = context;
     this.engines = engines;
     this.attempts = attempts;
-    this.times = times;
+    this.tokenListener = tokenListener;
     this.writer = new ChatAnswerWriter(response, facts, streamed);
   }
 
@@ -56,14 +59,14 @@
 
   @Override
   public void send(Action.Send send) {
-    if (over) {
+    if (completed) {
       attempts.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
-    sent = send;
-    answering = false;
+    current = send;
+    firstTokenReported = false;
     assembler.begin(send.attempt());
-    handedOver = everHandedOver();
+    requestSent = everHandedOver();
     stream = engines.stream(this);
     stream.start(send.endpoint().address(), order(send));
   }
@@ -86,8 +89,8 @@
 
   @Override
   public void event(StreamEvent event) {
-    boolean own = sent.attempt().toString().equals(event.attempt());
-    AttemptId attempt = own ? sent.attempt() : null;
+    boolean isCurrent = current.attempt().toString().equals(event.attempt());
+    AttemptId attempt = isCurrent ? current.attempt() : null;
     if (attempt == null) {
       return;
     }
@@ -97,38 +100,38 @@
     }
     boolean isEnd = event.count() != null;
     if (!isEnd && event.at() == null) {
-      cut();
+      abortAttempt();
       return;
     }
     AnswerAssembler.Result result =
         isEnd
             ? assembler.end(attempt, event.count())
             : assembler.chunk(attempt, event.at(), event.text() == null ? "" : event.text());
-    take(result);
+    handleResult(result);
   }
 
-  private void take(AnswerAssembler.Result result) {
+  private void handleResult(AnswerAssembler.Result result) {
     List<String> ready = assembler.takeReady();
     if (!ready.isEmpty()) {
-      firstOfAttempt();
-      times.tokens(facts, ready.size());
+      reportFirstToken();
+      tokenListener.tokensForwarded(facts, ready.size());
       writer.write(ready);
       pauseIfFull();
     }
     if (result == AnswerAssembler.Result.WHOLE) {
-      over = true;
+      completed = true;
       stream.end();
-      attempts.happened(sent.attempt(), AttemptEvent.ANSWERED);
+      attempts.happened(current.attempt(), AttemptEvent.ANSWERED);
       writer.end(assembler.position());
     } else if (result == AnswerAssembler.Result.CUT) {
-      cut();
+      abortAttempt();
     }
   }
 
-  private void firstOfAttempt() {
-    if (!answering) {
-      answering = true;
-      attempts.happened(sent.attempt(), AttemptEvent.ANSWERING);
+  private void reportFirstToken() {
+    if (!firstTokenReported) {
+      firstTokenReported = true;
+      attempts.happened(current.attempt(), AttemptEvent.ANSWERING);
     }
   }
 
@@ -140,14 +143,14 @@
     }
   }
 
-  private void cut() {
+  private void abortAttempt() {
     stream.close();
-    engines.cancel(sent.endpoint(), sent.attempt());
+    engines.cancel(current.endpoint(), current.attempt());
     endAttempt(AttemptEvent.LOST);
   }
 
   private void endAttempt(AttemptEvent event) {
-    AttemptId attempt = sent.attempt();
+    AttemptId attempt = current.attempt();
     stream.end();
     assembler.abandon();
     attempts.happened(attempt, event);
@@ -159,37 +162,37 @@
   }
 
   @Override
-  public void lost(boolean mayHaveLeft) {
-    if (mayHaveLeft) {
-      engines.cancel(sent.endpoint(), sent.attempt());
+  public void failed(boolean mayHaveBeenSent) {
+    if (mayHaveBeenSent) {
+      engines.cancel(current.endpoint(), current.attempt());
     }
-    endAttempt(mayHaveLeft ? AttemptEvent.LOST : AttemptEvent.CONNECT_FAILED);
+    endAttempt(mayHaveBeenSent ? AttemptEvent.LOST : AttemptEvent.CONNECT_FAILED);
   }
 
   @Override
   public void cancel(Action.Cancel cancel) {
-    if (stream == null || !cancel.attempt().equals(sent.attempt())) {
+    if (stream == null || !cancel.attempt().equals(current.attempt())) {
       return;
     }
-    boolean mayHaveLeft = stream.handedOver();
+    boolean mayHaveBeenSent = stream.requestSent();
     stream.close();
     assembler.abandon();
-    if (mayHaveLeft) {
+    if (mayHaveBeenSent) {
       engines.cancel(cancel.endpoint(), cancel.attempt());
     }
   }
 
   @Override
   public boolean everHandedOver() {
-    return handedOver || stream != null && stream.handedOver();
+    return requestSent || stream != null && stream.requestSent();
   }
 
   @Override
   public void refuse(Refusal refusal) {
-    if (over) {
+    if (completed) {
       return;
     }
-    over = true;
+    completed = true;
     CallerResponse.refuse(response, facts.requestId(), refusal);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/ClockSources.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ClockSources.java
@@ -6,21 +6,21 @@
 import java.nio.file.Path;
 import java.util.OptionalLong;
 
-/** The clocks of the machine. Safe for all threads. */
+/** The clocks of the operating system. Safe for all threads. */
 public interface ClockSources {
-  /** Returns the steady clock in nanoseconds; it stands still while the machine is suspended. */
+  /** Returns the monotonic clock in nanoseconds, which stops while the machine is suspended. */
   long steadyNanos();
 
-  /** Returns the time of day, as a Unix time in milliseconds; it may jump either way. */
+  /** Returns the wall clock as a Unix time in milliseconds; it may jump in both directions. */
   long wallMs();
 
   /**
-   * Returns the time since the machine's start in milliseconds, which counts suspended time; empty
-   * where the machine does not tell it.
+   * Returns the time since boot in milliseconds, including suspended time, or empty when the
+   * operating system does not provide it.
    */
   OptionalLong bootMs();
 
-  /** Returns the clocks of this machine. */
+  /** Returns the clocks of the machine that runs this process. */
   static ClockSources system() {
     return new ClockSources() {
       @Override
@@ -42,11 +42,11 @@
 
   private static OptionalLong uptimeMs() {
     try {
-      // Seconds with two digits after the point, then another figure.
+      // Seconds with two decimals, followed by the idle time.
       String text = Files.readString(Path.of("/proc/uptime"));
       return OptionalLong.of(Math.round(Double.parseDouble(text.split(" ")[0]) * 1000));
     } catch (IOException | NumberFormatException e) {
-      // Machines without this file are not told to have been suspended: empty says so.
+      // Suspensions are not detected on machines without this file.
       return OptionalLong.empty();
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/DecisionDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/DecisionDuty.java
@@ -28,8 +28,8 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * The thread that decides. It feeds events with their time to the coordinator and carries out the
- * actions on the exchanges' event loops.
+ * The decision thread: passes events with their time to the {@link RequestCoordinator} and runs the
+ * resulting actions on the event loops of the exchanges.
  */
 final class DecisionDuty implements AutoCloseable {
   private static final long TICK_MS = 10;
@@ -39,43 +39,44 @@
   private final String zone;
   private final EndpointRoster roster = new EndpointRoster();
   private final HostClock clock;
-  private final Consumer<HostIdentity> leavingNews;
-  private final ClaimDesk claims;
+  private final Consumer<HostIdentity> drainingListener;
+  private final ClaimHandler claims;
   private final Map<Integer, Endpoint> byNameHash = new HashMap<>();
   private final OpenExchanges exchanges;
   private final Duty<HostEvent> duty;
   private volatile View view = new View(0, 0, false, List.of(), List.of());
 
   /**
-   * What other threads may see.
+   * State published to other threads.
    *
-   * @param open requests without a final answer
-   * @param waiting requests waiting for an endpoint
-   * @param registered whether calls that may not be repeated are served
-   * @param endpoints endpoints that may get new work
-   * @param leaving endpoints that are leaving
+   * @param open the number of requests without a final answer
+   * @param waiting the number of requests waiting for an endpoint
+   * @param registered whether this host serves calls that must not be repeated
+   * @param endpoints the endpoints that may receive new work
+   * @param draining the endpoints that are shutting down
    */
   record View(
       int open,
       int waiting,
       boolean registered,
       List<Endpoint> endpoints,
-      List<HostIdentity> leaving) {}
+      List<HostIdentity> draining) {}
 
-  /** What claims need from the network and the log. */
-  interface Claims {
-    /** Reads the log to its end; fails when that cannot be done. */
+  /** Access to the log and the other daemons for claims. */
+  interface ClaimTransport {
+    /** Completes when the log is replayed to its current end; fails when it cannot be read. */
     CompletableFuture<Void> readLogToEnd();
 
-    /** Asks another daemon; fails when it does not answer. */
-    CompletableFuture<ClaimAnswer> ask(HostIdentity identity, HostAddress address, ClaimKey key);
+    /** Requests the state of a key from another daemon; fails when it does not reply. */
+    CompletableFuture<ClaimAnswer> requestClaim(
+        HostIdentity identity, HostAddress address, ClaimKey key);
   }
 
-  /** Connects claims with this thread. */
-  private final class Outside implements ClaimDesk.Outside {
-    private final Claims network;
+  /** Connects the {@link ClaimHandler} with this thread. */
+  private final class ClaimEnvironment implements ClaimHandler.Environment {
+    private final ClaimTransport network;
 
-    Outside(Claims network) {
+    ClaimEnvironment(ClaimTransport network) {
       this.network = network;
     }
 
@@ -85,14 +86,14 @@
     }
 
     @Override
-    public CompletableFuture<ClaimAnswer> ask(
+    public CompletableFuture<ClaimAnswer> requestClaim(
         HostIdentity identity, HostAddress address, ClaimKey key) {
-      return network.ask(identity, address, key);
+      return network.requestClaim(identity, address, key);
     }
 
     @Override
-    public void later(HostEvent event) {
-      // A claim whose event finds no room ends by its time limit, with an honest "unknown".
+    public void enqueue(HostEvent event) {
+      // If the ring is full the event is dropped; the claim then times out with outcome "unknown".
       offer(event);
     }
 
@@ -108,34 +109,34 @@
 
     @Override
     public void refuse(RequestFacts facts, Refusal refusal) {
-      // The refusal speaks of earlier sendings too, of which the exchange knows nothing.
+      // The refusal also covers earlier copies of the call, which this exchange did not send.
       carryOut(coordinator.refuse(facts, refusal, clock.nowMs()), false);
     }
   }
 
   /**
-   * Makes the duty, not started.
+   * Creates the duty; the thread runs once {@link #start} is called.
    *
-   * @param feed takes each decision; must not block
-   * @param leavingNews takes each endpoint newly known to be leaving; must not block
+   * @param feed receives each decision; must not block
+   * @param drainingListener receives each endpoint that reports its shutdown; must not block
    */
   DecisionDuty(
       RequestCoordinator coordinator,
       HostIdentity self,
       String zone,
-      Claims claims,
+      ClaimTransport claims,
       HostClock clock,
       int ringEvents,
       Consumer<Decision> feed,
-      Consumer<HostIdentity> leavingNews,
+      Consumer<HostIdentity> drainingListener,
       HostLog log) {
     this.coordinator = coordinator;
     this.self = self;
     this.zone = zone;
-    this.claims = new ClaimDesk(self, new Outside(claims));
+    this.claims = new ClaimHandler(self, new ClaimEnvironment(claims));
     this.clock = clock;
     this.exchanges = new OpenExchanges(feed);
-    this.leavingNews = leavingNews;
+    this.drainingListener = drainingListener;
     this.duty =
         new Duty<>("decisions", new Ring<>(ringEvents), this::handle, this::tick, TICK_MS, log);
   }
@@ -157,8 +158,8 @@
     return duty.ring();
   }
 
-  /** Takes a new request with its exchange; returns false when there is no room for it. */
-  boolean arrived(HostEvent.Arrived arrived, Exchange exchange) {
+  /** Queues a new request with its exchange; returns false when the ring is full. */
+  boolean arrived(HostEvent.RequestArrived arrived, Exchange exchange) {
     String id = arrived.facts().requestId();
     exchanges.add(id, exchange);
     if (duty.offerNew(arrived)) {
@@ -168,7 +169,7 @@
     return false;
   }
 
-  /** Takes an event about work already taken; returns false when there is no room for it now. */
+  /** Queues an event of accepted work; returns false when the ring is full. */
   boolean offer(HostEvent event) {
     return duty.offer(event);
   }
@@ -193,33 +194,33 @@
               coordinator.waiting(),
               claims.registered(),
               before.endpoints(),
-              before.leaving());
+              before.draining());
     }
   }
 
   private void handle(HostEvent event) {
     long nowMs = clock.nowMs();
-    if (event instanceof HostEvent.Arrived arrived) {
+    if (event instanceof HostEvent.RequestArrived arrived) {
       arrived(arrived, nowMs);
-    } else if (event instanceof HostEvent.Attempted attempted) {
+    } else if (event instanceof HostEvent.AttemptUpdated attempted) {
       carryOut(coordinator.attempt(attempted.attempt(), attempted.event(), nowMs));
       forgetIfEnded(attempted.attempt().requestId());
-    } else if (event instanceof HostEvent.CallerGone gone) {
+    } else if (event instanceof HostEvent.CallerDisconnected gone) {
       claims.callerGone(gone.requestId());
       carryOut(coordinator.callerGone(gone.requestId(), nowMs));
     } else if (event instanceof HostEvent.TableChanged changed) {
       carryOut(coordinator.table(changed.table(), nowMs));
-    } else if (event instanceof HostEvent.Listed listed) {
+    } else if (event instanceof HostEvent.HostsListed listed) {
       listed(listed, nowMs);
-    } else if (event instanceof HostEvent.Loaded loaded) {
+    } else if (event instanceof HostEvent.LoadReported loaded) {
       loaded(loaded, nowMs);
-    } else if (event instanceof HostEvent.LoadsTold told) {
-      told.loads().forEach(one -> told(one, nowMs));
-    } else if (event instanceof HostEvent.SaidLeaving said) {
-      if (roster.saidLeaving(said.endpoint())) {
+    } else if (event instanceof HostEvent.PeerLoadsReported reported) {
+      reported.loads().forEach(entry -> peerLoadReported(entry, nowMs));
+    } else if (event instanceof HostEvent.EndpointDraining draining) {
+      if (roster.saidLeaving(draining.endpoint())) {
         offerEndpoints(nowMs);
       }
-    } else if (event instanceof HostEvent.DrainOrdered) {
+    } else if (event instanceof HostEvent.DrainRequested) {
       coordinator.stop(StopWindow.CLOSED);
     } else {
       handleClaim(event, nowMs);
@@ -228,27 +229,27 @@
   }
 
   private void handleClaim(HostEvent event, long nowMs) {
-    if (event instanceof HostEvent.Registered registered) {
+    if (event instanceof HostEvent.HostRegistered registered) {
       claims.registered(registered.registration(), nowMs);
-    } else if (event instanceof HostEvent.PeerHeard heard) {
-      claims.heard(heard.identity());
+    } else if (event instanceof HostEvent.PeerSeen seen) {
+      claims.peerSeen(seen.identity());
     } else if (event instanceof HostEvent.PeerLost lost) {
-      claims.lost(lost.identity(), nowMs);
-    } else if (event instanceof HostEvent.ClaimLogRead read) {
+      claims.peerLost(lost.identity(), nowMs);
+    } else if (event instanceof HostEvent.LogReadForClaim read) {
       claims.logRead(read.requestId(), nowMs);
     } else if (event instanceof HostEvent.ClaimAnswered answered) {
-      claims.answered(answered, nowMs);
-    } else if (event instanceof HostEvent.ClaimAsked asked) {
-      claims.asked(asked, nowMs);
-    } else if (event instanceof HostEvent.Inherited inherited) {
-      claims.inherit(inherited.handed());
-      inherited.taken().run();
-    } else if (event instanceof HostEvent.HandoverWanted wanted) {
-      wanted.reply().accept(claims.handover());
+      claims.claimAnswered(answered, nowMs);
+    } else if (event instanceof HostEvent.ClaimRequested requested) {
+      claims.claimRequested(requested, nowMs);
+    } else if (event instanceof HostEvent.ClaimsHandedOver inherited) {
+      claims.inherit(inherited.claims());
+      inherited.acknowledge().run();
+    } else if (event instanceof HostEvent.HandoverRequested requested) {
+      requested.reply().accept(claims.handover());
     }
   }
 
-  private void arrived(HostEvent.Arrived arrived, long nowMs) {
+  private void arrived(HostEvent.RequestArrived arrived, long nowMs) {
     if (arrived.claim() == null) {
       carryOut(coordinator.arrive(arrived.facts(), nowMs));
     } else {
@@ -259,23 +260,23 @@
   private void forgetIfEnded(String requestId) {
     if (!coordinator.isOpen(requestId)) {
       exchanges.remove(requestId);
-      claims.ended(requestId, Ran.YES, clock.nowMs());
+      claims.requestCompleted(requestId, Ran.YES, clock.nowMs());
     }
   }
 
-  private void listed(HostEvent.Listed listed, long nowMs) {
+  private void listed(HostEvent.HostsListed listed, long nowMs) {
     if (roster.listed(listed.listing())) {
       carryOut(coordinator.limitPart(LimitParts.part(self, zone, listed.listing()), nowMs));
       offerEndpoints(nowMs);
     }
   }
 
-  private void loaded(HostEvent.Loaded loaded, long nowMs) {
+  private void loaded(HostEvent.LoadReported loaded, long nowMs) {
     Load load = loaded.load();
     HostIdentity identity = new HostIdentity(load.host(), load.incarnation());
     boolean changed = roster.answered(identity);
     if (load.leaving() && roster.saidLeaving(identity)) {
-      leavingNews.accept(identity);
+      drainingListener.accept(identity);
       changed = true;
     }
     if (changed) {
@@ -284,7 +285,7 @@
     carryOut(coordinator.load(identity, load.report(), nowMs));
   }
 
-  private void told(LoadDigest.Entry entry, long nowMs) {
+  private void peerLoadReported(LoadDigest.Entry entry, long nowMs) {
     Endpoint endpoint = byNameHash.get(entry.nameHash());
     if (endpoint == null) {
       return;
@@ -321,7 +322,7 @@
   private void carryOut(List<Action> actions, boolean exchangeKnows) {
     exchanges.carryOut(
         actions,
-        (requestId, refusal) -> claims.ended(requestId, refusal.ran(), clock.nowMs()),
+        (requestId, refusal) -> claims.requestCompleted(requestId, refusal.ran(), clock.nowMs()),
         exchangeKnows);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/DecisionFeed.java
+++ b/org.fawndrum/src/org/fawndrum/transport/DecisionFeed.java
@@ -20,14 +20,19 @@
 import org.fawndrum.protocol.OperatorViews;
 
 /**
- * Shows decisions: keeps the stories of the newest requests, feeds watchers, histograms and the
- * log. Runs on a thread of its own, so that nobody who watches can slow down the decisions; when
- * its ring is full a decision is not shown, and that is counted.
+ * Publishes decisions: keeps the decision history of the newest requests and passes each decision
+ * to watchers, metrics and the log. Runs on its own thread, so that a slow consumer cannot delay
+ * the decision thread; when its ring is full a decision is dropped and counted.
  */
 final class DecisionFeed implements AutoCloseable {
-  private static final int RING = 16_384;
-  private static final int STORIES = 4_096;
-  private static final int LONGEST_STORY = 32;
+  private static final int RING_CAPACITY = 16_384;
+
+  /** Maximum number of requests whose decisions are kept. */
+  private static final int MAX_STORIES = 4_096;
+
+  /** Maximum number of decisions kept for one request. */
+  private static final int MAX_STORY_LENGTH = 32;
+
   private static final long TICK_MS = 100;
 
   private final Map<String, List<DecisionView>> stories =
@@ -36,19 +41,20 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, List<DecisionView>> eldest) {
-          return size() > STORIES;
+          return size() > MAX_STORIES;
         }
       };
   private final List<Consumer<DecisionView>> watchers = new CopyOnWriteArrayList<>();
   private final RequestMetrics metrics;
   private final HostLog log;
-  private final AtomicLong notShown = new AtomicLong();
+  private final AtomicLong dropped = new AtomicLong();
   private final Duty<Decision> duty;
 
   DecisionFeed(RequestMetrics metrics, HostLog log) {
     this.metrics = metrics;
     this.log = log;
-    this.duty = new Duty<>("feed", new Ring<>(RING), this::show, () -> {}, TICK_MS, log);
+    this.duty =
+        new Duty<>("feed", new Ring<>(RING_CAPACITY), this::process, () -> {}, TICK_MS, log);
   }
 
   void start() {
@@ -60,24 +66,24 @@
     duty.close();
   }
 
-  /** Takes a decision; never blocks. */
+  /** Queues a decision; never blocks. */
   void accept(Decision decision) {
     if (!duty.offer(decision)) {
-      notShown.incrementAndGet();
+      dropped.incrementAndGet();
     }
   }
 
-  /** Returns how many decisions were not shown. */
-  long notShown() {
-    return notShown.get();
+  /** Returns the number of decisions dropped because the ring was full. */
+  long dropped() {
+    return dropped.get();
   }
 
-  private void show(Decision decision) {
+  private void process(Decision decision) {
     DecisionView view = OperatorViews.decision(decision);
     synchronized (stories) {
       List<DecisionView> story =
           stories.computeIfAbsent(decision.requestId(), id -> new ArrayList<>(4));
-      if (story.size() < LONGEST_STORY) {
+      if (story.size() < MAX_STORY_LENGTH) {
         story.add(view);
       }
     }
@@ -95,7 +101,7 @@
     watchers.forEach(watcher -> watcher.accept(view));
   }
 
-  /** Adds a watcher, called on the feed's thread; it must not block. */
+  /** Adds a watcher, which is called on the feed's thread and must not block. */
   void watch(Consumer<DecisionView> watcher) {
     watchers.add(watcher);
   }
@@ -104,7 +110,7 @@
     watchers.remove(watcher);
   }
 
-  /** Returns one request's story, while it is kept. */
+  /** Returns the decisions of a request, or empty when none are kept. */
   Optional<Story> story(String requestId) {
     synchronized (stories) {
       return Optional.ofNullable(stories.get(requestId))
--- a/org.fawndrum/src/org/fawndrum/transport/DecisionWatch.java
+++ b/org.fawndrum/src/org/fawndrum/transport/DecisionWatch.java
@@ -10,8 +10,8 @@
 import org.fawndrum.protocol.OperatorMessages.DecisionView;
 
 /**
- * One operator's watch: each decision that passes the filters, as a line of JSON, until the
- * operator goes away. A watcher that reads too slowly misses decisions rather than holding them up.
+ * Streams decisions to one operator: writes each decision that matches the filters as a line of
+ * JSON until the connection closes. Decisions are skipped while the write queue is full.
  */
 final class DecisionWatch {
   private final DecisionFeed feed;
@@ -34,7 +34,7 @@
     response.setChunked(true).putHeader("content-type", "application/x-ndjson");
     Consumer<DecisionView> watcher =
         decision -> {
-          if (passes(decision)) {
+          if (matches(decision)) {
             context.runOnContext(v -> write(decision));
           }
         };
@@ -43,7 +43,7 @@
     feed.watch(watcher);
   }
 
-  private boolean passes(DecisionView decision) {
+  private boolean matches(DecisionView decision) {
     String length = RequestMetrics.lengthClass(decision.promptTokens());
     return (workspace == null || workspace.equals(decision.workspace()))
         && (lengthClass == null || lengthClass.equals(length))
--- a/org.fawndrum/src/org/fawndrum/transport/EndpointWatch.java
+++ b/org.fawndrum/src/org/fawndrum/transport/EndpointPoller.java
@@ -12,29 +12,29 @@
 import org.fawndrum.state.Endpoint;
 import org.fawndrum.state.HostListing;
 
-/** Reads the platform's list of hosts and the load of the model engines at steady intervals. */
-final class EndpointWatch {
-  private static final long LIST_MS = 1_000;
-  private static final long LOAD_MS = 200;
+/** Polls the host list of the platform and the load of the model engines at fixed intervals. */
+final class EndpointPoller {
+  private static final long LIST_INTERVAL_MS = 1_000;
+  private static final long LOAD_INTERVAL_MS = 200;
 
   private final Vertx vertx;
   private final HostListSource platform;
   private final EngineCalls engines;
   private final DecisionDuty decisions;
   private final Consumer<HostListing> listed;
-  private final WatchShare share;
+  private final EnginePollShare share;
   private final Map<String, LoadReport> loads = new ConcurrentHashMap<>();
-  private final Map<String, Boolean> asking = new ConcurrentHashMap<>();
+  private final Map<String, Boolean> callsInProgress = new ConcurrentHashMap<>();
   private long listTimer;
   private long loadTimer;
 
-  EndpointWatch(
+  EndpointPoller(
       Vertx vertx,
       HostListSource platform,
       EngineCalls engines,
       DecisionDuty decisions,
       Consumer<HostListing> listed,
-      WatchShare share) {
+      EnginePollShare share) {
     this.listed = listed;
     this.share = share;
     this.vertx = vertx;
@@ -45,8 +45,8 @@
 
   void start() {
     readList();
-    listTimer = vertx.setPeriodic(LIST_MS, id -> readList());
-    loadTimer = vertx.setPeriodic(LOAD_MS, id -> readLoads());
+    listTimer = vertx.setPeriodic(LIST_INTERVAL_MS, id -> readList());
+    loadTimer = vertx.setPeriodic(LOAD_INTERVAL_MS, id -> readLoads());
   }
 
   void stop() {
@@ -55,14 +55,14 @@
   }
 
   private void readList() {
-    if (asking.putIfAbsent("", Boolean.TRUE) != null) {
+    if (callsInProgress.putIfAbsent("", Boolean.TRUE) != null) {
       return;
     }
     platform
         .hosts()
         .whenComplete(
             (listing, failure) -> {
-              asking.remove("");
+              callsInProgress.remove("");
               if (listing != null) {
                 listed.accept(listing);
               }
@@ -70,36 +70,38 @@
   }
 
   private void readLoads() {
-    share.due(decisions.view().endpoints()).forEach(this::readLoad);
+    share.enginesToPoll(decisions.view().endpoints()).forEach(this::readLoad);
   }
 
-  /** Returns the load of the endpoints that this host watches for others, as lately read. */
+  /**
+   * Returns the loads read since the last call of the engines that this host polls for its peers.
+   */
   byte[] digest() {
-    Map<String, LoadReport> told = new HashMap<>();
+    Map<String, LoadReport> reports = new HashMap<>();
     Map<String, Long> memory = new HashMap<>();
-    for (Endpoint endpoint : share.mine(decisions.view().endpoints())) {
-      LoadReport one = loads.get(endpoint.name());
-      if (one != null) {
-        told.put(endpoint.name(), one);
+    for (Endpoint endpoint : share.ownEngines(decisions.view().endpoints())) {
+      LoadReport load = loads.get(endpoint.name());
+      if (load != null) {
+        reports.put(endpoint.name(), load);
         memory.put(endpoint.name(), endpoint.memoryTokens());
       }
     }
     loads.clear();
-    return LoadDigest.write(told, memory);
+    return LoadDigest.write(reports, memory);
   }
 
   private void readLoad(Endpoint endpoint) {
-    if (asking.putIfAbsent(endpoint.name(), Boolean.TRUE) != null) {
+    if (callsInProgress.putIfAbsent(endpoint.name(), Boolean.TRUE) != null) {
       return;
     }
     engines
         .load(endpoint)
         .whenComplete(
             (load, failure) -> {
-              asking.remove(endpoint.name());
+              callsInProgress.remove(endpoint.name());
               if (load != null) {
                 loads.put(endpoint.name(), load.report());
-                decisions.offer(new HostEvent.Loaded(endpoint.identity(), load));
+                decisions.offer(new HostEvent.LoadReported(endpoint.identity(), load));
               }
             });
   }
--- a/org.fawndrum/src/org/fawndrum/transport/EngineCalls.java
+++ b/org.fawndrum/src/org/fawndrum/transport/EngineCalls.java
@@ -19,13 +19,13 @@
 import org.fawndrum.protocol.Json;
 import org.fawndrum.state.Endpoint;
 
-/** Calls of model engines over HTTP. Safe for all threads. */
+/** HTTP client for model engines. Safe for all threads. */
 public final class EngineCalls {
-  private static final int CONNECT_MS = 1_000;
-  private static final int CONNECTIONS_PER_ENGINE = 1_024;
-  private static final long CALL_MS = 2_000;
-  private static final int CANCEL_TRIES = 3;
-  private static final long CANCEL_AGAIN_MS = 500;
+  private static final int CONNECT_TIMEOUT_MS = 1_000;
+  private static final int MAX_CONNECTIONS_PER_ENGINE = 1_024;
+  private static final long CALL_TIMEOUT_MS = 2_000;
+  private static final int MAX_CANCEL_TRIES = 3;
+  private static final long CANCEL_RETRY_MS = 500;
   private static final int HTTP_OK = 200;
 
   private final Vertx vertx;
@@ -33,28 +33,28 @@
   private final long silenceMs;
 
   /**
-   * Makes the calls.
+   * Creates the client.
    *
-   * @param vertx runs them
-   * @param silenceMs how long an engine may be silent during an answer, in milliseconds
+   * @param vertx runs the calls
+   * @param silenceMs the maximum time between two chunks of an answer, in milliseconds
    */
   public EngineCalls(Vertx vertx, long silenceMs) {
     this.vertx = vertx;
     this.silenceMs = silenceMs;
     this.client =
         vertx.createHttpClient(
-            new HttpClientOptions().setConnectTimeout(CONNECT_MS),
-            new PoolOptions().setHttp1MaxSize(CONNECTIONS_PER_ENGINE));
+            new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS),
+            new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS_PER_ENGINE));
   }
 
-  /** Returns a stream that has not started. */
+  /** Creates a stream; the call is sent by {@link EngineStream#start}. */
   EngineStream stream(EngineStream.Listener listener) {
     return new EngineStream(vertx, client, silenceMs, listener);
   }
 
   /**
-   * Tells an engine that nobody waits for an attempt any more. Tried a few times; an engine that
-   * cannot be told sees the closed connection, and the sweep finds what is left.
+   * Cancels an attempt on an engine, with up to three tries. If all fail, the engine notices the
+   * closed connection, and {@link MemorySweep} frees what is left.
    */
   public void cancel(Endpoint endpoint, AttemptId attempt) {
     cancel(endpoint, attempt, 1);
@@ -65,21 +65,21 @@
     call(endpoint, HttpMethod.POST, "/v1/cancel", body)
         .onFailure(
             cause -> {
-              if (tries < CANCEL_TRIES) {
-                vertx.setTimer(CANCEL_AGAIN_MS, id -> cancel(endpoint, attempt, tries + 1));
+              if (tries < MAX_CANCEL_TRIES) {
+                vertx.setTimer(CANCEL_RETRY_MS, id -> cancel(endpoint, attempt, tries + 1));
               }
             });
   }
 
   /**
-   * Reads an engine's load. Fails with {@code EndpointUnreachableException} or {@code
-   * EndpointAnsweredWrongException}.
+   * Reads the load of an engine. The future fails with {@code EndpointUnreachableException} or
+   * {@code EndpointAnsweredWrongException}.
    */
   public CompletableFuture<Load> load(Endpoint endpoint) {
     return read(endpoint, HttpMethod.GET, "/v1/load", "", Load.class);
   }
 
-  /** Calls an engine and reads its answer; fails as {@link #load} does. */
+  /** Calls an engine and parses its response; fails in the same way as {@link #load}. */
   <T> CompletableFuture<T> read(
       Endpoint endpoint, HttpMethod method, String path, String body, Class<T> type) {
     CompletableFuture<T> result = new CompletableFuture<>();
@@ -107,7 +107,7 @@
             .setHost(endpoint.address().ip())
             .setPort(endpoint.address().port())
             .setURI(path)
-            .setTimeout(CALL_MS);
+            .setTimeout(CALL_TIMEOUT_MS);
     return client
         .request(options)
         .compose(request -> request.send(Buffer.buffer(body)))
--- a/org.fawndrum/src/org/fawndrum/transport/EngineStream.java
+++ b/org.fawndrum/src/org/fawndrum/transport/EngineStream.java
@@ -17,14 +17,14 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * One call of an engine's stream, on one event loop. Tells its listener every event of the stream
- * and how the call ended. A call that was closed tells nothing more.
+ * One streaming call of an engine, confined to one event loop. Passes each event of the stream and
+ * the outcome of the call to its listener. The listener is not called after the call is closed.
  */
 final class EngineStream {
   private static final String DATA = "data: ";
   private static final int HTTP_OK = 200;
   private static final int HTTP_UNAVAILABLE = 503;
-  private static final int LONGEST_LINE = 1 << 20;
+  private static final int MAX_LINE_LENGTH = 1 << 20;
 
   private final Vertx vertx;
   private final HttpClientAgent client;
@@ -33,23 +33,23 @@
   private HttpClientRequest request;
   private HttpClientResponse response;
   private long silenceTimer = -1;
-  private boolean handedOver;
+  private boolean requestSent;
   private boolean closed;
 
-  /** Is told what a stream does. */
+  /** Receives the events and the outcome of a stream. */
   interface Listener {
-    /** Takes an event of the stream, which may name another attempt. */
+    /** Called for each event of the stream, which may name another attempt. */
     void event(StreamEvent event);
 
-    /** The endpoint says that it did not and will not run the request. */
+    /** Called when the endpoint responds that it did not and will not run the request. */
     void notRun();
 
     /**
-     * The call ended before its end mark.
+     * Called when the call failed before the end marker of the stream.
      *
-     * @param sent whether anything may have left this host
+     * @param sent whether any part of the request may have been sent
      */
-    void lost(boolean sent);
+    void failed(boolean sent);
   }
 
   EngineStream(Vertx vertx, HttpClientAgent client, long silenceMs, Listener listener) {
@@ -59,7 +59,7 @@
     this.listener = listener;
   }
 
-  /** Starts the call; the caller is on its event loop. */
+  /** Sends the call. Must be called on the event loop of this stream. */
   void start(HostAddress address, StreamOrder order) {
     RequestOptions options =
         new RequestOptions()
@@ -77,7 +77,7 @@
                       if (connected.succeeded()) {
                         send(connected.result(), order);
                       } else {
-                        lost();
+                        fail();
                       }
                     }));
   }
@@ -88,42 +88,42 @@
       return;
     }
     request = connected;
-    handedOver = true;
-    heard();
+    requestSent = true;
+    restartSilenceTimer();
     request
         .putHeader("content-type", "application/json")
         .send(Buffer.buffer(Json.write(order)))
-        .onSuccess(this::answered)
-        .onFailure(cause -> lost());
+        .onSuccess(this::handleResponse)
+        .onFailure(cause -> fail());
   }
 
-  private void answered(HttpClientResponse answer) {
+  private void handleResponse(HttpClientResponse answer) {
     if (closed) {
       return;
     }
     response = answer;
-    heard();
+    restartSilenceTimer();
     if (answer.statusCode() == HTTP_UNAVAILABLE) {
       end();
       listener.notRun();
       return;
     }
     if (answer.statusCode() != HTTP_OK) {
-      lost();
+      fail();
       return;
     }
     RecordParser lines = RecordParser.newDelimited("\n", answer);
-    lines.maxRecordSize(LONGEST_LINE);
-    lines.exceptionHandler(cause -> lost());
-    lines.endHandler(v -> lost());
-    lines.handler(this::line);
+    lines.maxRecordSize(MAX_LINE_LENGTH);
+    lines.exceptionHandler(cause -> fail());
+    lines.endHandler(v -> fail());
+    lines.handler(this::handleLine);
   }
 
-  private void line(Buffer line) {
+  private void handleLine(Buffer line) {
     if (closed) {
       return;
     }
-    heard();
+    restartSilenceTimer();
     String text = line.toString();
     if (!text.startsWith(DATA)) {
       return;
@@ -131,24 +131,24 @@
     try {
       listener.event(Json.read(text.substring(DATA.length()), StreamEvent.class));
     } catch (IOException e) {
-      lost();
+      fail();
     }
   }
 
-  private void heard() {
+  private void restartSilenceTimer() {
     vertx.cancelTimer(silenceTimer);
-    silenceTimer = vertx.setTimer(silenceMs, id -> lost());
+    silenceTimer = vertx.setTimer(silenceMs, id -> fail());
   }
 
-  private void lost() {
+  private void fail() {
     if (!closed) {
-      boolean sent = handedOver;
+      boolean sent = requestSent;
       close();
-      listener.lost(sent);
+      listener.failed(sent);
     }
   }
 
-  /** Stops reading for a while, because the caller reads too slowly. */
+  /** Pauses reading, for backpressure from a slow caller; the silence timer stops. */
   void pause() {
     if (response != null && !closed) {
       vertx.cancelTimer(silenceTimer);
@@ -156,26 +156,26 @@
     }
   }
 
-  /** Reads on after {@link #pause}. */
+  /** Resumes reading after {@link #pause}. */
   void resume() {
     if (response != null && !closed) {
-      heard();
+      restartSilenceTimer();
       response.resume();
     }
   }
 
-  /** Tells whether anything may have left this host. */
-  boolean handedOver() {
-    return handedOver;
+  /** Returns whether any part of the request may have been sent. */
+  boolean requestSent() {
+    return requestSent;
   }
 
-  /** Ends the call after its end mark; the connection can be used again. */
+  /** Completes the call after the end marker; the connection can be reused. */
   void end() {
     closed = true;
     vertx.cancelTimer(silenceTimer);
   }
 
-  /** Ends the call before its end mark; nothing more is told. */
+  /** Aborts the call and resets its connection. */
   void close() {
     end();
     if (request != null) {
--- a/org.fawndrum/src/org/fawndrum/transport/EntryHostRuntime.java
+++ b/org.fawndrum/src/org/fawndrum/transport/EntryHostRuntime.java
@@ -37,17 +37,17 @@
 import org.fawndrum.transport.peer.NettyPeerNetwork;
 
 /**
- * A whole entry host: servers, followers and threads wired together. A daemon is this class with
- * settings and signals around it.
+ * Runtime of an entry host: creates, connects, starts and stops its servers, pollers and threads.
+ * The daemon adds settings and signal handling.
  */
 public final class EntryHostRuntime {
-  private static final long AGAIN_MS = 1;
-  private static final long AGAIN_NANOS = 1_000_000;
-  private static final long DRAIN_LOOK_MS = 100;
-  private static final long READ_WAIT_MS = 500;
-  private static final long REGISTER_AGAIN_MS = 1_000;
-  private static final long LOST_LOOK_MS = 5_000;
-  private static final long SWEEP_LOOK_MS = 15_000;
+  private static final long RETRY_MS = 1;
+  private static final long RETRY_NANOS = 1_000_000;
+  private static final long DRAIN_CHECK_MS = 100;
+  private static final long LOG_READ_WAIT_MS = 500;
+  private static final long REGISTER_RETRY_MS = 1_000;
+  private static final long LOST_PEER_CHECK_MS = 5_000;
+  private static final long SWEEP_INTERVAL_MS = 15_000;
 
   private final Vertx vertx;
   private final HostSettings settings;
@@ -60,12 +60,12 @@
   private final DecisionDuty decisions;
   private final HttpPlatform platform;
   private final LogFollower follower;
-  private final EndpointWatch watch;
+  private final EndpointPoller poller;
   private final NettyPeerNetwork network;
   private final PeerDuty members;
   private final CallerServer callers;
   private final OperatorServer operators;
-  private final LostHosts lostHosts;
+  private final LostPeerDetector lostPeers;
   private final HostStatus status;
   private final MemorySweep sweep;
   private final CompletableFuture<Void> drained = new CompletableFuture<>();
@@ -74,12 +74,12 @@
   private long heartbeats;
 
   /**
-   * Makes a host that has not started.
+   * Creates a host; it starts with {@link #start}.
    *
-   * @param vertx runs its servers; closed by the caller
-   * @param settings its checked settings
-   * @param clock its clock
-   * @param incarnation grows with each start on this host
+   * @param vertx runs the servers; must be closed by the caller
+   * @param settings the validated settings
+   * @param clock the clock of the host
+   * @param incarnation the incarnation of this host, greater than that of any earlier start
    */
   public EntryHostRuntime(Vertx vertx, HostSettings settings, HostClock clock, long incarnation) {
     this.vertx = vertx;
@@ -88,7 +88,7 @@
     this.self = new HostIdentity(settings.host(), incarnation);
     this.metrics = new RequestMetrics(new MetricRegistry(), clock);
     this.feed = new DecisionFeed(metrics, log);
-    this.platform = new HttpPlatform(vertx, settings.platform(), READ_WAIT_MS);
+    this.platform = new HttpPlatform(vertx, settings.platform(), LOG_READ_WAIT_MS);
     this.follower =
         new LogFollower(
             platform,
@@ -107,21 +107,22 @@
             clock,
             settings.limits().ringEvents(),
             feed::accept,
-            this::tellLeaving,
+            this::announceDraining,
             log);
-    PeerDesk desk = new PeerDesk(self, clock, this::offerSurely, this::offerToMembers);
-    this.network = new NettyPeerNetwork(settings.peers(), desk, log);
+    PeerMessageHandler messageHandler =
+        new PeerMessageHandler(self, clock, this::offerWithRetry, this::offerToMembers);
+    this.network = new NettyPeerNetwork(settings.peers(), messageHandler, log);
     ZoneMembership membership =
         new ZoneMembership(self, settings.zone(), MembershipSettings.DEFAULT, settings.seeds());
     this.members =
         new PeerDuty(
-            self, membership, network, clock, this::ownFacts, new Holdings(), this::heard, log);
+            self, membership, network, clock, this::ownFacts, new HostState(), this::peerSeen, log);
     EngineCalls engines = new EngineCalls(vertx, settings.limits().endpointSilenceMs());
-    this.watch = endpointWatch(engines);
+    this.poller = endpointPoller(engines);
     this.callers = callerServer(engines);
     this.sweep =
         new MemorySweep(self, settings.zone(), engines, () -> listing, members::peers, clock, log);
-    this.lostHosts = new LostHosts(members::peers, lost -> offerSurely(lost));
+    this.lostPeers = new LostPeerDetector(members::peers, lost -> offerWithRetry(lost));
     this.status =
         new HostStatus(
             self, settings.zone(), clock, tables, decisions, follower, feed, members, log);
@@ -131,9 +132,10 @@
     tables.onNewer(this::tableChanged);
   }
 
-  private EndpointWatch endpointWatch(EngineCalls engines) {
-    WatchShare share = new WatchShare(self.host(), settings.zone(), members::livingInZone);
-    return new EndpointWatch(vertx, platform, engines, decisions, this::listed, share);
+  private EndpointPoller endpointPoller(EngineCalls engines) {
+    EnginePollShare share =
+        new EnginePollShare(self.host(), settings.zone(), members::livingInZone);
+    return new EndpointPoller(vertx, platform, engines, decisions, this::listed, share);
   }
 
   private CallerServer callerServer(EngineCalls engines) {
@@ -143,7 +145,7 @@
     return new CallerServer(vertx, settings, new RequestIds(self), intake);
   }
 
-  /** Starts everything; fails when an address cannot be had. */
+  /** Starts servers and threads; the future fails when an address cannot be bound. */
   public Future<Void> start() {
     feed.start();
     decisions.start();
@@ -153,40 +155,40 @@
         .map(
             server -> {
               follower.start();
-              watch.start();
+              poller.start();
               members.start();
               register();
-              vertx.setPeriodic(LOST_LOOK_MS, id -> lostHosts.look(listing, clock.nowMs()));
-              vertx.setPeriodic(SWEEP_LOOK_MS, id -> sweep.look());
+              vertx.setPeriodic(LOST_PEER_CHECK_MS, id -> lostPeers.check(listing, clock.nowMs()));
+              vertx.setPeriodic(SWEEP_INTERVAL_MS, id -> sweep.sweepEngines());
               log.event(LogEvent.HOST_STARTED, self, settings.zone());
               return null;
             });
   }
 
-  /** Returns the port of the callers' address. */
+  /** Returns the bound port of the server for callers. */
   public int callerPort() {
     return callers.port();
   }
 
-  /** Returns the port of the operators' address. */
+  /** Returns the bound port of the server for operators. */
   public int operatorPort() {
     return operators.port();
   }
 
-  /** Returns the address for peers, with the port that was bound. */
+  /** Returns the address for peers, with the bound port. */
   public HostAddress peerAddress() {
     return new HostAddress(settings.peers().address().ip(), network.port());
   }
 
   private void attempted(AttemptId attempt, AttemptEvent event) {
-    offerSurely(new HostEvent.Attempted(attempt, event));
+    offerWithRetry(new HostEvent.AttemptUpdated(attempt, event));
   }
 
-  /** Events about work already taken must not be lost: when the ring is full, they come again. */
-  private void offerSurely(HostEvent event) {
+  /** Offers an event of accepted work, which must not be lost, again until the ring has space. */
+  private void offerWithRetry(HostEvent event) {
     if (!decisions.offer(event)) {
       log.event(LogEvent.RING_REFUSED, "decisions");
-      vertx.setTimer(AGAIN_MS, id -> offerSurely(event));
+      vertx.setTimer(RETRY_MS, id -> offerWithRetry(event));
     }
   }
 
@@ -195,7 +197,7 @@
   }
 
   private void tableChanged(TableRevision table) {
-    offerSurely(new HostEvent.TableChanged(table));
+    offerWithRetry(new HostEvent.TableChanged(table));
     log.event(LogEvent.TABLE_IN_FORCE, Long.toString(table.revision()));
   }
 
@@ -204,8 +206,8 @@
       return;
     }
     listing = newer;
-    offerSurely(new HostEvent.Listed(newer));
-    offerToMembers(new PeerDuty.PeerEvent.Listed(newer));
+    offerWithRetry(new HostEvent.HostsListed(newer));
+    offerToMembers(new PeerDuty.PeerEvent.HostsListed(newer));
   }
 
   private int snapshotRank(long lastSnapshot) {
@@ -213,10 +215,13 @@
     return SnapshotTurn.rank(self.host(), names, lastSnapshot);
   }
 
-  /** Registrations must reach the thread that decides in order, before the end of the read. */
+  /**
+   * Queues a registration for the decision thread. Blocks while the ring is full, so that
+   * registrations stay in log order and precede the completion of the log read.
+   */
   private void registered(Registration registration) {
-    while (!decisions.offer(new HostEvent.Registered(registration))) {
-      LockSupport.parkNanos(AGAIN_NANOS);
+    while (!decisions.offer(new HostEvent.HostRegistered(registration))) {
+      LockSupport.parkNanos(RETRY_NANOS);
     }
     boolean own = registration.identity().equals(self) && !registration.retired();
     if (own) {
@@ -228,9 +233,10 @@
   private void register() {
     Registration own = new Registration(self, settings.zone(), peerAddress(), false);
     platform.append(LogCodec.registration(own));
-    // A lost confirmation is settled by what the log holds: appended again until it is read there.
+    // The confirmation may be lost, so this appends again until the registration is read from the
+    // log.
     vertx.setTimer(
-        REGISTER_AGAIN_MS,
+        REGISTER_RETRY_MS,
         id -> {
           if (!decisions.view().registered() && !draining) {
             register();
@@ -238,8 +244,8 @@
         });
   }
 
-  private void heard(PeerFacts facts) {
-    decisions.offer(new HostEvent.PeerHeard(facts.identity()));
+  private void peerSeen(PeerFacts facts) {
+    decisions.offer(new HostEvent.PeerSeen(facts.identity()));
   }
 
   private PeerFacts ownFacts() {
@@ -258,85 +264,86 @@
         view.open());
   }
 
-  private void tellLeaving(HostIdentity endpoint) {
+  private void announceDraining(HostIdentity endpoint) {
     EndpointStart start =
         EndpointStart.newBuilder()
             .setHost(endpoint.host())
             .setIncarnation(endpoint.incarnation())
             .build();
-    PeerMessage news =
+    PeerMessage notice =
         PeerCodec.from(self).setLeavingNews(LeavingNews.newBuilder().addEndpoints(start)).build();
-    members.peers().forEach(peer -> network.tell(peer.facts().address(), news));
+    members.peers().forEach(peer -> network.tell(peer.facts().address(), notice));
   }
 
-  /** What claims need from the log and the other daemons. */
-  private final class ClaimNetwork implements DecisionDuty.Claims {
+  /** Access to the log and the other daemons for claims. */
+  private final class ClaimNetwork implements DecisionDuty.ClaimTransport {
     @Override
     public CompletableFuture<Void> readLogToEnd() {
       return follower.readToEnd();
     }
 
     @Override
-    public CompletableFuture<ClaimAnswer> ask(
+    public CompletableFuture<ClaimAnswer> requestClaim(
         HostIdentity identity, HostAddress address, ClaimKey key) {
       ClaimRequest request = ClaimRequest.newBuilder().setKey(key.toString()).build();
       return network
           .ask(address, PeerCodec.from(self).setClaimRequest(request))
           .thenApply(
               reply ->
-                  // Another incarnation at the same address knows nothing of what was asked.
+                  // Another incarnation at this address has no record of the earlier one's keys.
                   PeerCodec.sender(reply).equals(identity)
                       ? PeerCodec.claimAnswer(reply.getClaimReply())
                       : ClaimAnswer.HELD);
     }
   }
 
-  /** What this host holds that others may lack. */
-  private final class Holdings implements PeerDuty.Holdings {
+  /** The state that this host exchanges with its peers. */
+  private final class HostState implements PeerDuty.SharedState {
     @Override
     public SnapshotRecord snapshot() {
       return follower.snapshot();
     }
 
     @Override
-    public void take(SnapshotRecord snapshot) {
-      follower.fromPeer(snapshot);
+    public void accept(SnapshotRecord snapshot) {
+      follower.offerPeerSnapshot(snapshot);
     }
 
     @Override
-    public void take(HostListing newer) {
+    public void accept(HostListing newer) {
       listed(newer);
     }
 
     @Override
     public byte[] loadDigest() {
-      return watch.digest();
+      return poller.digest();
     }
 
     @Override
-    public boolean needsNoPeer() {
-      return follower.needsNoPeer();
+    public boolean platformSuffices() {
+      return follower.platformSuffices();
     }
   }
 
   /**
-   * Stops admitting and gives a future that completes when the last request has its answer and the
-   * keys of calls that may not be repeated are handed over.
+   * Stops admitting requests. The returned future completes when the last request has its answer
+   * and the keys of calls that must not be repeated were handed over to peers.
    */
   public CompletableFuture<Void> drain() {
     if (!draining) {
       draining = true;
       log.event(LogEvent.DRAIN_BEGAN, Integer.toString(decisions.view().open()), 0);
-      offerSurely(new HostEvent.DrainOrdered());
-      vertx.setPeriodic(DRAIN_LOOK_MS, this::lookIfDrained);
+      offerWithRetry(new HostEvent.DrainRequested());
+      vertx.setPeriodic(DRAIN_CHECK_MS, this::checkDrained);
     }
     return drained;
   }
 
-  private void lookIfDrained(long timer) {
-    boolean settled = decisions.ring().size() == 0 && decisions.view().open() == 0;
-    if (settled && vertx.cancelTimer(timer)) {
-      offerSurely(new HostEvent.HandoverWanted(keys -> vertx.runOnContext(v -> retire(keys))));
+  private void checkDrained(long timer) {
+    boolean finished = decisions.ring().size() == 0 && decisions.view().open() == 0;
+    if (finished && vertx.cancelTimer(timer)) {
+      offerWithRetry(
+          new HostEvent.HandoverRequested(keys -> vertx.runOnContext(v -> retire(keys))));
     }
   }
 
@@ -358,19 +365,19 @@
             });
   }
 
-  /** Tells whether a planned stop has begun. */
+  /** Returns whether a planned shutdown was started. */
   public boolean draining() {
     return draining;
   }
 
-  /** Returns how the host stands. */
+  /** Returns the current status of the host. */
   public Status status() {
     return status.read(draining, drained.isDone());
   }
 
-  /** Ends everything at once; requests in progress are cut. */
+  /** Stops all servers and threads at once; requests in progress are aborted. */
   public Future<Void> close() {
-    watch.stop();
+    poller.stop();
     return callers
         .close()
         .eventually(() -> operators.close())
--- a/org.fawndrum/src/org/fawndrum/transport/Exchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/Exchange.java
@@ -5,21 +5,22 @@
 import org.fawndrum.coordination.Refusal;
 
 /**
- * One caller's request on its way, on the caller's event loop. All calls must come on that loop.
+ * The I/O side of one request. Confined to the event loop of the caller's connection: all methods
+ * but {@link #onLoop} must be called on that loop.
  */
 public interface Exchange {
   /** Sends the request to an endpoint. */
   void send(Action.Send send);
 
-  /** Ends an attempt and frees what it holds at the endpoint. */
+  /** Cancels an attempt and frees its resources on the endpoint. */
   void cancel(Action.Cancel cancel);
 
-  /** Gives the caller its final answer, which is not a whole one. */
+  /** Answers the caller with a refusal. */
   void refuse(Refusal refusal);
 
-  /** Runs a step on the exchange's event loop. */
+  /** Runs {@code step} on the event loop of this exchange. May be called from any thread. */
   void onLoop(Runnable step);
 
-  /** Tells whether any attempt has handed anything to the network. */
+  /** Returns whether any attempt may have sent part of the request. */
   boolean everHandedOver();
 }
--- a/org.fawndrum/src/org/fawndrum/transport/ExchangeFactory.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ExchangeFactory.java
@@ -9,28 +9,31 @@
 import io.vertx.core.http.PoolOptions;
 import org.fawndrum.coordination.RequestFacts;
 
-/** Makes the exchange of each request. Safe for all threads. */
+/** Creates the exchange of each request. Safe for all threads. */
 final class ExchangeFactory {
-  private static final int CONNECT_MS = 1_000;
-  private static final int CONNECTIONS_PER_SERVICE = 256;
+  private static final int CONNECT_TIMEOUT_MS = 1_000;
+  private static final int MAX_CONNECTIONS_PER_SERVICE = 256;
 
   private final EngineCalls engines;
   private final AttemptListener attempts;
-  private final StreamTimes times;
-  private final HttpClientAgent kept;
-  private final HttpClientAgent fresh;
+  private final TokenListener tokenListener;
+  private final HttpClientAgent pooledClient;
+  private final HttpClientAgent singleUseClient;
 
-  ExchangeFactory(Vertx vertx, EngineCalls engines, AttemptListener attempts, StreamTimes times) {
+  ExchangeFactory(
+      Vertx vertx, EngineCalls engines, AttemptListener attempts, TokenListener tokenListener) {
     this.engines = engines;
     this.attempts = attempts;
-    this.times = times;
-    PoolOptions pool = new PoolOptions().setHttp1MaxSize(CONNECTIONS_PER_SERVICE);
-    this.kept = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_MS), pool);
-    // A kept connection may be closed by the service just as a call is written to it, which leaves
-    // the outcome unknown. Calls that may not be repeated therefore get a connection of their own.
-    this.fresh =
+    this.tokenListener = tokenListener;
+    PoolOptions pool = new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS_PER_SERVICE);
+    this.pooledClient =
+        vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS), pool);
+    // A service may close a pooled connection just as a call is written to it, which leaves the
+    // outcome unknown. Calls that must not be repeated therefore use a new connection each.
+    this.singleUseClient =
         vertx.createHttpClient(
-            new HttpClientOptions().setConnectTimeout(CONNECT_MS).setKeepAlive(false), pool);
+            new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS).setKeepAlive(false),
+            pool);
   }
 
   Exchange chat(
@@ -39,7 +42,8 @@
       boolean streamed,
       HttpServerResponse response,
       Context context) {
-    return new ChatExchange(facts, prompt, streamed, response, context, engines, attempts, times);
+    return new ChatExchange(
+        facts, prompt, streamed, response, context, engines, attempts, tokenListener);
   }
 
   Exchange plain(
@@ -47,7 +51,7 @@
       PlainExchange.PlainCall call,
       HttpServerResponse response,
       Context context) {
-    HttpClientAgent client = facts.repeatable() ? kept : fresh;
+    HttpClientAgent client = facts.repeatable() ? pooledClient : singleUseClient;
     return new PlainExchange(facts, call, response, context, client, attempts);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/HostClock.java
+++ b/org.fawndrum/src/org/fawndrum/transport/HostClock.java
@@ -4,25 +4,25 @@
 import org.fawndrum.internal.log.HostLog;
 import org.fawndrum.internal.log.LogEvent;
 
-/** The clock of a host. */
+/** Clock of a host. Safe for all threads. */
 public interface HostClock {
-  /** A time before all others; ages can still be computed from it without an overflow. */
+  /** A time before any other; subtracting it from a time does not overflow. */
   long NEVER_MS = Long.MIN_VALUE / 2;
 
-  /** Returns milliseconds that never run backwards; near the epoch's, for people to read. */
+  /** Returns the time in milliseconds. It never runs backwards and starts near the Unix time. */
   long nowMs();
 
   /**
-   * Returns the clock of this process: it starts at the wall clock, then follows the steady clock,
-   * and counts the time for which the machine is suspended.
+   * Creates the clock of this process. It starts at the wall clock, then follows the monotonic
+   * clock, and adds the time for which the machine was suspended.
    *
-   * @param log hears of suspensions
+   * @param log the log for detected suspensions
    */
   static HostClock system(HostLog log) {
     return of(ClockSources.system(), log);
   }
 
-  /** Returns such a clock of other sources. */
+  /** Creates such a clock from the given sources. */
   static HostClock of(ClockSources sources, HostLog log) {
     return new SuspendAwareClock(
         sources, ms -> log.event(LogEvent.HOST_SUSPENDED, Long.toString(ms)));
--- a/org.fawndrum/src/org/fawndrum/transport/HostEvent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/HostEvent.java
@@ -17,59 +17,60 @@
 import org.fawndrum.state.HostListing;
 import org.fawndrum.state.TableRevision;
 
-/** An event for the thread that decides. */
+/** An event for the decision thread. */
 sealed interface HostEvent {
-  /** A request came in; {@code claim} is null for one that needs none. */
-  record Arrived(RequestFacts facts, Claimed claim) implements HostEvent {}
+  /** A request arrived; {@code claim} is null when it may be repeated or has no key. */
+  record RequestArrived(RequestFacts facts, ClaimInfo claim) implements HostEvent {}
 
-  /** The key of a call that may not be repeated, and what its caller shows of earlier sendings. */
-  record Claimed(ClaimKey key, Sending sending) {}
+  /** The key of a call that must not be repeated, and whether its headers mark it as a retry. */
+  record ClaimInfo(ClaimKey key, Sending sending) {}
 
-  /** Something happened to an attempt. */
-  record Attempted(AttemptId attempt, AttemptEvent event) implements HostEvent {}
+  /** An attempt changed its state. */
+  record AttemptUpdated(AttemptId attempt, AttemptEvent event) implements HostEvent {}
 
-  /** A caller closed its connection. */
-  record CallerGone(String requestId) implements HostEvent {}
+  /** A caller closed its connection before its answer was complete. */
+  record CallerDisconnected(String requestId) implements HostEvent {}
 
   /** A newer table is in force. */
   record TableChanged(TableRevision table) implements HostEvent {}
 
-  /** The platform's list was read. */
-  record Listed(HostListing listing) implements HostEvent {}
+  /** A newer host list was read. */
+  record HostsListed(HostListing listing) implements HostEvent {}
 
   /** An endpoint reported its load. */
-  record Loaded(HostIdentity listedAs, Load load) implements HostEvent {}
+  record LoadReported(HostIdentity listedAs, Load load) implements HostEvent {}
 
-  /** A peer tells the load of the endpoints that it watches. */
-  record LoadsTold(List<LoadDigest.Entry> loads) implements HostEvent {}
+  /** A peer reported the load of the engines that it polls. */
+  record PeerLoadsReported(List<LoadDigest.Entry> loads) implements HostEvent {}
 
-  /** A peer says that an endpoint is leaving. */
-  record SaidLeaving(HostIdentity endpoint) implements HostEvent {}
+  /** A peer reported that an endpoint is shutting down. */
+  record EndpointDraining(HostIdentity endpoint) implements HostEvent {}
 
-  /** The host is to be stopped. */
-  record DrainOrdered() implements HostEvent {}
+  /** A planned shutdown of this host was requested. */
+  record DrainRequested() implements HostEvent {}
 
-  /** The log registers an incarnation. */
-  record Registered(Registration registration) implements HostEvent {}
+  /** A registration was read from the log. */
+  record HostRegistered(Registration registration) implements HostEvent {}
 
-  /** Another daemon was heard of. */
-  record PeerHeard(HostIdentity identity) implements HostEvent {}
+  /** A heartbeat of another daemon was received. */
+  record PeerSeen(HostIdentity identity) implements HostEvent {}
 
-  /** A daemon is neither listed nor heard of. */
+  /** A daemon is neither in the host list nor alive. */
   record PeerLost(HostIdentity identity) implements HostEvent {}
 
-  /** The log was read to its end for a claim. */
-  record ClaimLogRead(String requestId) implements HostEvent {}
+  /** The log was replayed to its end for the claim of a request. */
+  record LogReadForClaim(String requestId) implements HostEvent {}
 
-  /** Another daemon answered about a key. */
+  /** Another daemon replied with the state of a key. */
   record ClaimAnswered(HostIdentity from, ClaimKey key, ClaimAnswer answer) implements HostEvent {}
 
-  /** Another daemon asks about a key. */
-  record ClaimAsked(ClaimKey key, Consumer<ClaimAnswer> reply) implements HostEvent {}
+  /** Another daemon requests the state of a key. */
+  record ClaimRequested(ClaimKey key, Consumer<ClaimAnswer> reply) implements HostEvent {}
 
-  /** Another daemon stops for good and hands its keys over. */
-  record Inherited(List<OnceLedger.Inherited> handed, Runnable taken) implements HostEvent {}
+  /** Another daemon is retiring and hands over its keys. */
+  record ClaimsHandedOver(List<OnceLedger.Inherited> claims, Runnable acknowledge)
+      implements HostEvent {}
 
-  /** This daemon stops for good: its keys are wanted for others. */
-  record HandoverWanted(Consumer<List<OnceLedger.Inherited>> reply) implements HostEvent {}
+  /** This daemon is retiring and its keys are requested for handover. */
+  record HandoverRequested(Consumer<List<OnceLedger.Inherited>> reply) implements HostEvent {}
 }
--- a/org.fawndrum/src/org/fawndrum/transport/HostStatus.java
+++ b/org.fawndrum/src/org/fawndrum/transport/HostStatus.java
@@ -11,7 +11,7 @@
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.TableRevision;
 
-/** Gathers how a host stands. */
+/** Collects the status of a host for operators. */
 final class HostStatus {
   private final HostIdentity self;
   private final String zone;
@@ -22,7 +22,7 @@
   private final DecisionFeed feed;
   private final PeerDuty members;
   private final HostLog log;
-  private volatile boolean sawReady;
+  private volatile boolean readyLogged;
 
   HostStatus(
       HostIdentity self,
@@ -61,8 +61,8 @@
         view.waiting(),
         view.registered(),
         view.endpoints().stream().map(Endpoint::name).sorted().toList(),
-        view.leaving().stream().map(HostIdentity::toString).sorted().toList(),
-        decisions.ring().refused() + feed.notShown(),
+        view.draining().stream().map(HostIdentity::toString).sorted().toList(),
+        decisions.ring().refused() + feed.dropped(),
         peers());
   }
 
@@ -86,8 +86,8 @@
     DecisionDuty.View view = decisions.view();
     boolean ready =
         follower.everCaughtUp() && tables.table().revision() >= 0 && !view.endpoints().isEmpty();
-    if (ready && !sawReady) {
-      sawReady = true;
+    if (ready && !readyLogged) {
+      readyLogged = true;
       log.event(
           LogEvent.HOST_READY,
           Long.toString(tables.table().revision()),
--- a/org.fawndrum/src/org/fawndrum/transport/HttpPlatform.java
+++ b/org.fawndrum/src/org/fawndrum/transport/HttpPlatform.java
@@ -26,11 +26,11 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostListing;
 
-/** The platform's log and host list over HTTP. Safe for all threads. */
+/** HTTP client for the log and the host list of the platform. Safe for all threads. */
 public final class HttpPlatform implements PlatformLog, HostListSource {
-  private static final int CONNECTIONS = 4;
-  private static final int CONNECT_MS = 1_000;
-  private static final long ANSWER_MS = 3_000;
+  private static final int MAX_CONNECTIONS = 4;
+  private static final int CONNECT_TIMEOUT_MS = 1_000;
+  private static final long RESPONSE_TIMEOUT_MS = 3_000;
   private static final int HTTP_OK = 200;
 
   private final HttpClientAgent client;
@@ -39,17 +39,17 @@
   private volatile long listVersion = -1;
 
   /**
-   * Makes a client.
+   * Creates a client.
    *
    * @param vertx runs the calls
-   * @param address where the platform is
-   * @param waitMs how long a read waits at the platform for a record, in milliseconds
+   * @param address the address of the platform
+   * @param waitMs how long the platform holds a read open until a record arrives, in milliseconds
    */
   public HttpPlatform(Vertx vertx, HostAddress address, long waitMs) {
     this.client =
         vertx.createHttpClient(
-            new HttpClientOptions().setConnectTimeout(CONNECT_MS),
-            new PoolOptions().setHttp1MaxSize(CONNECTIONS));
+            new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS),
+            new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS));
     this.address = address;
     this.waitMs = waitMs;
   }
@@ -57,34 +57,40 @@
   @Override
   public CompletableFuture<Long> append(byte[] content) {
     Append body = new Append(Base64.getEncoder().encodeToString(content));
-    return call(HttpMethod.POST, "/log", Json.write(body), Appended.class, "append", ANSWER_MS)
+    return call(
+            HttpMethod.POST,
+            "/log",
+            Json.write(body),
+            Appended.class,
+            "append",
+            RESPONSE_TIMEOUT_MS)
         .thenApply(Appended::offset);
   }
 
   @Override
-  public CompletableFuture<Batch> read(long from, int most) {
-    String path = "/log?from=" + from + "&most=" + most + "&waitMs=" + waitMs;
-    long limitMs = ANSWER_MS + waitMs;
+  public CompletableFuture<Batch> read(long from, int maxRecords) {
+    String path = "/log?from=" + from + "&most=" + maxRecords + "&waitMs=" + waitMs;
+    long timeoutMs = RESPONSE_TIMEOUT_MS + waitMs;
     return call(
             HttpMethod.GET,
             path,
             null,
             org.fawndrum.protocol.PlatformMessages.Batch.class,
             "read",
-            limitMs)
+            timeoutMs)
         .thenApply(batch -> new Batch(batch.first(), batch.next(), records(batch.records())));
   }
 
   private static List<LogRecord> records(List<StoredRecord> stored) {
     return stored.stream()
-        .map(one -> new LogRecord(one.offset(), Base64.getDecoder().decode(one.content())))
+        .map(entry -> new LogRecord(entry.offset(), Base64.getDecoder().decode(entry.content())))
         .toList();
   }
 
   @Override
   public CompletableFuture<HostListing> hosts() {
     String path = "/hosts?after=" + listVersion;
-    return call(HttpMethod.GET, path, null, HostList.class, "hosts", ANSWER_MS)
+    return call(HttpMethod.GET, path, null, HostList.class, "hosts", RESPONSE_TIMEOUT_MS)
         .thenApply(HostListCodec::decode)
         .whenComplete(
             (listing, failure) -> {
@@ -95,14 +101,19 @@
   }
 
   private <T> CompletableFuture<T> call(
-      HttpMethod method, String path, String body, Class<T> type, String operation, long limitMs) {
+      HttpMethod method,
+      String path,
+      String body,
+      Class<T> type,
+      String operation,
+      long timeoutMs) {
     RequestOptions options =
         new RequestOptions()
             .setMethod(method)
             .setHost(address.ip())
             .setPort(address.port())
             .setURI(path)
-            .setTimeout(limitMs);
+            .setTimeout(timeoutMs);
     CompletableFuture<T> result = new CompletableFuture<>();
     client
         .request(options)
--- a/org.fawndrum/src/org/fawndrum/transport/SendingEvidence.java
+++ b/org.fawndrum/src/org/fawndrum/transport/IdempotencyHeaders.java
@@ -8,26 +8,26 @@
 import org.fawndrum.coordination.once.ClaimKey;
 import org.fawndrum.errors.RefusedException;
 
-/** Reads from a call's headers what its caller shows of earlier sendings of the same call. */
-final class SendingEvidence {
-  /** Names the call; the same on each sending. */
+/** Parses the headers that identify a call and mark it as a retry of an earlier one. */
+final class IdempotencyHeaders {
+  /** Header with the key of the call, which is the same on each retry. */
   static final String KEY_HEADER = "idempotency-key";
 
-  /** How often the call was sent before, as common client libraries count it. */
+  /** Header with the number of earlier tries, as set by common client libraries. */
   static final String COUNT_HEADER = "x-stainless-retry-count";
 
-  private static final int LONGEST_KEY = 256;
+  private static final int MAX_KEY_LENGTH = 256;
 
-  private SendingEvidence() {}
+  private IdempotencyHeaders() {}
 
   /**
-   * Returns the claim that a call needs, or null for a call without a key: it is sent once, and a
-   * later call cannot be told to be the same one.
+   * Returns the claim for a call, or null for a call without a key: it is sent once, and no later
+   * call can be identified as its retry.
    *
-   * @throws RefusedException if a later sending has no key, so that nothing can be found out about
-   *     the earlier one, or if a header makes no sense
+   * @throws RefusedException if a retry has no key, so that the outcome of the earlier try cannot
+   *     be determined, or if a header is invalid
    */
-  static HostEvent.Claimed claim(CallerServer.Call call) {
+  static HostEvent.ClaimInfo claim(CallerServer.Call call) {
     String key = call.request().getHeader(KEY_HEADER);
     Sending sending = sending(call);
     if (key == null) {
@@ -37,10 +37,10 @@
       }
       return null;
     }
-    if (key.isBlank() || key.length() > LONGEST_KEY) {
+    if (key.isBlank() || key.length() > MAX_KEY_LENGTH) {
       throw invalid(call);
     }
-    return new HostEvent.Claimed(new ClaimKey(call.group(), key), sending);
+    return new HostEvent.ClaimInfo(new ClaimKey(call.group(), key), sending);
   }
 
   private static Sending sending(CallerServer.Call call) {
@@ -49,8 +49,8 @@
       return Sending.UNCOUNTED;
     }
     try {
-      int before = Integer.parseInt(count.strip());
-      if (before > 0) {
+      int earlierTries = Integer.parseInt(count.strip());
+      if (earlierTries > 0) {
         return Sending.REPEAT;
       }
       return call.trusted() ? Sending.FIRST : Sending.UNCOUNTED;
--- a/org.fawndrum/src/org/fawndrum/transport/IdleConnections.java
+++ b/org.fawndrum/src/org/fawndrum/transport/IdleConnections.java
@@ -8,45 +8,47 @@
 import java.util.function.LongSupplier;
 
 /**
- * Closes connections on which no request is in progress for too long, such as those that stopped in
- * the middle of the headers. Connections that wait for an answer are left alone, however long.
+ * Closes connections that have no request in progress for too long, including those that stop in
+ * the middle of the headers. A connection with a request in progress is never closed. Safe for all
+ * threads.
  */
 public final class IdleConnections {
   private final Vertx vertx;
-  private final LongSupplier firstRequestMs;
-  private final LongSupplier keptMs;
+  private final LongSupplier firstRequestTimeoutMs;
+  private final LongSupplier keepAliveMs;
   private final Map<HttpConnection, Long> timers = new ConcurrentHashMap<>();
 
   /**
-   * Makes the watch.
+   * Creates the timeouts.
    *
-   * @param firstRequestMs the time that a new connection has for its first request
-   * @param keptMs how long a connection may rest after an answer
+   * @param firstRequestTimeoutMs the time until the first request of a connection, in milliseconds
+   * @param keepAliveMs the maximum idle time after an answer, in milliseconds
    */
-  public IdleConnections(Vertx vertx, LongSupplier firstRequestMs, LongSupplier keptMs) {
+  public IdleConnections(
+      Vertx vertx, LongSupplier firstRequestTimeoutMs, LongSupplier keepAliveMs) {
     this.vertx = vertx;
-    this.firstRequestMs = firstRequestMs;
-    this.keptMs = keptMs;
+    this.firstRequestTimeoutMs = firstRequestTimeoutMs;
+    this.keepAliveMs = keepAliveMs;
   }
 
-  /** A connection was opened; its first request must come soon. */
+  /** Starts the timeout of a new connection for its first request. */
   public void opened(HttpConnection connection) {
-    closeAfter(connection, firstRequestMs.getAsLong());
+    closeAfter(connection, firstRequestTimeoutMs.getAsLong());
   }
 
-  /** A connection was closed. */
+  /** Cancels the timeout of a closed connection. */
   public void closed(HttpConnection connection) {
     cancel(connection);
   }
 
-  /** A request began. */
+  /** Cancels the timeout of a connection on which a request was started. */
   public void began(HttpConnection connection) {
     cancel(connection);
   }
 
-  /** A request got its answer. */
+  /** Starts the idle timeout of a connection whose request was answered. */
   public void ended(HttpConnection connection) {
-    closeAfter(connection, keptMs.getAsLong());
+    closeAfter(connection, keepAliveMs.getAsLong());
   }
 
   private void closeAfter(HttpConnection connection, long afterMs) {
--- a/org.fawndrum/src/org/fawndrum/transport/Keyring.java
+++ b/org.fawndrum/src/org/fawndrum/transport/Keyring.java
@@ -10,27 +10,32 @@
 import java.util.function.Function;
 
 /**
- * Finds who a key belongs to. Keys are kept as digests and compared in constant time against every
- * entry, so that the time of a look-up tells nothing about them. Immutable.
+ * Looks up the owner of an API key. Keys are stored as SHA-256 digests and compared in constant
+ * time with every entry, so that the time of a lookup reveals nothing about them. Immutable.
  *
- * @param <T> who keys belong to
+ * @param <T> the type of the owners
  */
 final class Keyring<T> {
   private static final String BEARER = "Bearer ";
 
   private final List<Entry<T>> entries;
 
-  /** A key's digest and its owner. */
+  /** The digest of a key and the owner of the key. */
   private record Entry<T>(byte[] digest, T owner) {}
 
-  /** Makes a ring from settings; {@code keyOf} reads an owner's key. */
+  /** Creates a key ring; {@code keyOf} returns the key of an owner. */
   Keyring(List<T> owners, Function<T, String> keyOf) {
-    List<Entry<T>> made = new ArrayList<>();
-    owners.forEach(owner -> made.add(new Entry<>(digest(keyOf.apply(owner)), owner)));
-    entries = List.copyOf(made);
+    List<Entry<T>> created = new ArrayList<>();
+    owners.forEach(owner -> created.add(new Entry<>(digest(keyOf.apply(owner)), owner)));
+    entries = List.copyOf(created);
   }
 
-  /** Returns the owner of the key in an Authorization header, which may be null. */
+  /**
+   * Returns the owner of the bearer key in an Authorization header.
+   *
+   * @param authorization the value of the header, or null when absent
+   * @return the owner, or empty when the header is absent, has another scheme or an unknown key
+   */
   Optional<T> owner(String authorization) {
     if (authorization == null || !authorization.startsWith(BEARER)) {
       return Optional.empty();
--- a/org.fawndrum/src/org/fawndrum/transport/LogFollower.java
+++ b/org.fawndrum/src/org/fawndrum/transport/LogFollower.java
@@ -25,13 +25,14 @@
 import org.fawndrum.state.TableRevision;
 
 /**
- * The thread that follows the platform's log: it brings newer tables to the store, tells of
- * registrations in the order of the log, and appends snapshots when it is this host's turn.
+ * The thread that replays the log of the platform. It passes newer tables to the {@link
+ * TableStore}, reports registrations in log order, and appends snapshots when this host is due to
+ * do so.
  */
 final class LogFollower implements AutoCloseable {
-  private static final int MOST_RECORDS = 500;
-  private static final long PAUSE_NANOS = 250_000_000;
-  private static final long SNAPSHOT_AGAIN_MS = 30_000;
+  private static final int MAX_RECORDS_PER_READ = 500;
+  private static final long RETRY_NANOS = 250_000_000;
+  private static final long SNAPSHOT_RETRY_MS = 30_000;
 
   private final PlatformLog platform;
   private final PlatformLog platformEnd;
@@ -44,28 +45,28 @@
   private final Thread thread;
   private final LogReplay replay = new LogReplay();
   private final RegistrationBook book = new RegistrationBook();
-  private final ConcurrentLinkedQueue<SnapshotRecord> fromPeers = new ConcurrentLinkedQueue<>();
-  private final Map<CompletableFuture<Void>, Long> awaited = new ConcurrentHashMap<>();
+  private final ConcurrentLinkedQueue<SnapshotRecord> peerSnapshots = new ConcurrentLinkedQueue<>();
+  private final Map<CompletableFuture<Void>, Long> awaitedOffsets = new ConcurrentHashMap<>();
   private volatile boolean platformUp;
   private volatile boolean inGap;
   private volatile boolean everCaughtUp;
   private volatile long replayedTo;
-  private volatile Newest newest = new Newest(TableRevision.EMPTY, List.of());
+  private volatile LatestTable latest = new LatestTable(TableRevision.EMPTY, List.of());
   private volatile boolean stopping;
   private long newestSnapshotSeenMs;
   private long nextSnapshotMs;
 
-  /** The newest table with everybody registered, written down only when somebody asks. */
-  private record Newest(TableRevision table, List<Registration> members) {}
+  /** The newest table with all registrations; it is encoded only on request. */
+  private record LatestTable(TableRevision table, List<Registration> members) {}
 
   /**
-   * Makes the follower, not started.
+   * Creates the follower; its thread runs once {@link #start} is called.
    *
-   * @param platform the log; its reads wait for records
-   * @param platformEnd the log; its reads do not wait
-   * @param snapshotRank this host's place in the turn to append a snapshot, given the position of
-   *     the last one
-   * @param registrations is told of each registration in order, on the follower's thread
+   * @param platform the log, with reads that wait for records
+   * @param platformEnd the log, with reads that return at once
+   * @param snapshotRank returns the rank of this host in the order in which hosts append the next
+   *     snapshot, for the position of the last one
+   * @param registrations receives each registration in log order, on the thread of the follower
    */
   LogFollower(
       PlatformLog platform,
@@ -98,38 +99,38 @@
     StopThread.call(thread);
   }
 
-  /** Tells whether the platform answered last. */
+  /** Returns whether the last read of the log succeeded. */
   boolean platformUp() {
     return platformUp;
   }
 
-  /** Tells whether the log can give this host everything, so that peers need not be asked. */
-  boolean needsNoPeer() {
+  /** Returns whether the log is readable without a gap, so that no peer needs to be queried. */
+  boolean platformSuffices() {
     return platformUp && !inGap;
   }
 
   /**
-   * Tells whether this host once had the newest table that it could get: the log read to its end,
-   * or a table from a peer while the platform did not answer.
+   * Returns whether this host ever had the newest table available to it: the log replayed to its
+   * end, or a table of a peer while the platform was unavailable.
    */
   boolean everCaughtUp() {
     return everCaughtUp;
   }
 
-  /** Returns the newest table with everybody registered, for another host. */
+  /** Returns the newest table with all registrations, for another host. */
   SnapshotRecord snapshot() {
-    Newest known = newest;
-    return SnapshotCodec.encode(known.table(), known.members());
+    LatestTable current = latest;
+    return SnapshotCodec.encode(current.table(), current.members());
   }
 
-  /** Takes a table from a peer; it is looked at before the next read. */
-  void fromPeer(SnapshotRecord snapshot) {
-    fromPeers.add(snapshot);
+  /** Queues a table of a peer; it is adopted before the next read of the log. */
+  void offerPeerSnapshot(SnapshotRecord snapshot) {
+    peerSnapshots.add(snapshot);
   }
 
   /**
-   * Completes when everything is replayed that the log held at the time of this call. Fails when
-   * the platform does not answer or records are missing.
+   * Completes when all records that the log holds at the time of this call are replayed. Fails when
+   * the platform is unavailable or records are missing.
    */
   CompletableFuture<Void> readToEnd() {
     return platformEnd
@@ -140,17 +141,17 @@
                 return CompletableFuture.failedFuture(
                     new RecordsExpiredException(replayedTo, batch.first()));
               }
-              CompletableFuture<Void> replayed = new CompletableFuture<>();
-              awaited.put(replayed, batch.next());
-              settleAwaited();
-              return replayed;
+              CompletableFuture<Void> completed = new CompletableFuture<>();
+              awaitedOffsets.put(completed, batch.next());
+              completeAwaited();
+              return completed;
             });
   }
 
-  private void settleAwaited() {
-    awaited.forEach(
+  private void completeAwaited() {
+    awaitedOffsets.forEach(
         (future, offset) -> {
-          if (replayedTo >= offset && awaited.remove(future) != null) {
+          if (replayedTo >= offset && awaitedOffsets.remove(future) != null) {
             future.complete(null);
           }
         });
@@ -158,27 +159,27 @@
 
   private void run() {
     while (!stopping) {
-      takeFromPeers();
+      adoptPeerSnapshots();
       try {
-        PlatformLog.Batch batch = platform.read(replay.next(), MOST_RECORDS).join();
-        take(batch);
-        noteUp(true, "");
+        PlatformLog.Batch batch = platform.read(replay.next(), MAX_RECORDS_PER_READ).join();
+        replayBatch(batch);
+        updatePlatformState(true, "");
         appendSnapshotIfDue();
       } catch (CompletionException e) {
-        noteUp(false, String.valueOf(e.getCause()));
-        LockSupport.parkNanos(PAUSE_NANOS);
+        updatePlatformState(false, String.valueOf(e.getCause()));
+        LockSupport.parkNanos(RETRY_NANOS);
       }
     }
   }
 
-  private void takeFromPeers() {
-    SnapshotRecord snapshot = fromPeers.poll();
+  private void adoptPeerSnapshots() {
+    SnapshotRecord snapshot = peerSnapshots.poll();
     while (snapshot != null) {
       SnapshotCodec.members(snapshot).forEach(this::registered);
       replay.adopt(SnapshotCodec.decode(snapshot)).ifPresent(store::offer);
-      refresh();
+      publishProgress();
       everCaughtUp |= !platformUp;
-      snapshot = fromPeers.poll();
+      snapshot = peerSnapshots.poll();
     }
   }
 
@@ -187,41 +188,41 @@
     registrations.accept(registration);
   }
 
-  private void noteUp(boolean up, String why) {
+  private void updatePlatformState(boolean up, String cause) {
     if (up && !platformUp) {
       log.event(LogEvent.PLATFORM_BACK);
     } else if (!up && platformUp) {
-      log.event(LogEvent.PLATFORM_LOST, why);
+      log.event(LogEvent.PLATFORM_LOST, cause);
     }
     platformUp = up;
   }
 
-  private void take(PlatformLog.Batch batch) {
-    boolean before = replay.inGap();
+  private void replayBatch(PlatformLog.Batch batch) {
+    boolean wasInGap = replay.inGap();
     replay.logBegins(batch.first());
-    if (replay.inGap() && !before) {
+    if (replay.inGap() && !wasInGap) {
       String position = Long.toString(replay.table().position() + 1);
       log.event(LogEvent.LOG_GAP, Long.toString(batch.first()), position);
     }
     for (PlatformLog.LogRecord record : batch.records()) {
-      LogRecordReader.Read read = reader.read(record);
-      read.registrations().forEach(this::registered);
-      if (read.entry() instanceof LogReplay.Entry.Snapshot) {
+      LogRecordReader.DecodedRecord decoded = reader.read(record);
+      decoded.registrations().forEach(this::registered);
+      if (decoded.entry() instanceof LogReplay.Entry.Snapshot) {
         newestSnapshotSeenMs = clock.nowMs();
       }
-      replay.record(read.entry());
+      replay.record(decoded.entry());
     }
     store.offer(replay.table());
-    refresh();
+    publishProgress();
     everCaughtUp |= !inGap && replayedTo >= batch.next();
-    settleAwaited();
+    completeAwaited();
   }
 
-  private void refresh() {
+  private void publishProgress() {
     inGap = replay.inGap();
     replayedTo = replay.next();
-    if (replay.table().position() > newest.table().position()) {
-      newest = new Newest(replay.table(), book.members(clock.nowMs()));
+    if (replay.table().position() > latest.table().position()) {
+      latest = new LatestTable(replay.table(), book.members(clock.nowMs()));
     }
   }
 
@@ -234,7 +235,7 @@
     if (!SnapshotTurn.due(replay.sinceSnapshot(), nowMs - newestSnapshotSeenMs, rank)) {
       return;
     }
-    nextSnapshotMs = nowMs + SNAPSHOT_AGAIN_MS;
+    nextSnapshotMs = nowMs + SNAPSHOT_RETRY_MS;
     String position = Long.toString(replay.table().position());
     platform
         .append(LogCodec.snapshot(replay.table(), book.members(nowMs)))
--- a/org.fawndrum/src/org/fawndrum/transport/LogRecordReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/LogRecordReader.java
@@ -14,14 +14,14 @@
 import org.fawndrum.protocol.wire.LogEntry;
 import org.fawndrum.state.Publication;
 
-/** Turns records of the log into what they mean; one that cannot be read means nothing. */
+/** Decodes log records. An unreadable record is logged and has no effect. */
 final class LogRecordReader {
   private final HostLog log;
 
-  /** What one record means to the table, and whom it registers. */
-  record Read(LogReplay.Entry entry, List<Registration> registrations) {
-    static Read other(long offset) {
-      return new Read(new LogReplay.Entry.Other(offset), List.of());
+  /** The effect of one record on the table, and the registrations in it. */
+  record DecodedRecord(LogReplay.Entry entry, List<Registration> registrations) {
+    static DecodedRecord withoutEffect(long offset) {
+      return new DecodedRecord(new LogReplay.Entry.Other(offset), List.of());
     }
   }
 
@@ -29,32 +29,32 @@
     this.log = log;
   }
 
-  Read read(PlatformLog.LogRecord record) {
+  DecodedRecord read(PlatformLog.LogRecord record) {
     try {
       return read(record.offset(), LogCodec.read(record.offset(), record.content()));
     } catch (RecordUnreadableException | BadSnapshotException e) {
       log.failure(LogEvent.RECORD_PASSED_OVER, e, Long.toString(record.offset()));
-      return Read.other(record.offset());
+      return DecodedRecord.withoutEffect(record.offset());
     }
   }
 
-  private static Read read(long offset, LogEntry entry) {
+  private static DecodedRecord read(long offset, LogEntry entry) {
     return switch (entry.getEntryCase()) {
       case PUBLICATION -> {
         Publication publication = LogCodec.publication(entry.getPublication());
         yield publication == null
-            ? Read.other(offset)
-            : new Read(new LogReplay.Entry.Published(offset, publication), List.of());
+            ? DecodedRecord.withoutEffect(offset)
+            : new DecodedRecord(new LogReplay.Entry.Published(offset, publication), List.of());
       }
       case SNAPSHOT ->
-          new Read(
+          new DecodedRecord(
               new LogReplay.Entry.Snapshot(offset, SnapshotCodec.decode(entry.getSnapshot())),
               SnapshotCodec.members(entry.getSnapshot()));
       case REGISTRATION ->
-          new Read(
+          new DecodedRecord(
               new LogReplay.Entry.Other(offset),
               List.of(LogCodec.registration(entry.getRegistration())));
-      default -> Read.other(offset);
+      default -> DecodedRecord.withoutEffect(offset);
     };
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/LostHosts.java
+++ b/org.fawndrum/src/org/fawndrum/transport/LostPeerDetector.java
@@ -10,27 +10,27 @@
 import org.fawndrum.state.EntryHost;
 import org.fawndrum.state.HostListing;
 
-/** Finds daemons that the platform does not list any more and that are not heard of either. */
-final class LostHosts {
+/** Finds daemons that are no longer in the host list of the platform and no longer alive. */
+final class LostPeerDetector {
   private final Supplier<List<PeerView>> peers;
-  private final Consumer<HostEvent.PeerLost> lost;
+  private final Consumer<HostEvent.PeerLost> listener;
 
-  LostHosts(Supplier<List<PeerView>> peers, Consumer<HostEvent.PeerLost> lost) {
+  LostPeerDetector(Supplier<List<PeerView>> peers, Consumer<HostEvent.PeerLost> listener) {
     this.peers = peers;
-    this.lost = lost;
+    this.listener = listener;
   }
 
-  /** Looks once; an unread list proves nothing about anybody. */
-  void look(HostListing listing, long nowMs) {
+  /** Reports each lost peer; does nothing while the host list is empty, as it was not read yet. */
+  void check(HostListing listing, long nowMs) {
     if (listing.entryHosts().isEmpty()) {
       return;
     }
     Set<String> listed = new HashSet<>();
     listing.entryHosts().stream().map(EntryHost::name).forEach(listed::add);
     for (PeerView peer : peers.get()) {
-      boolean gone = !peer.alive() && !listed.contains(peer.facts().identity().host());
-      if (gone) {
-        lost.accept(new HostEvent.PeerLost(peer.facts().identity()));
+      boolean isLost = !peer.alive() && !listed.contains(peer.facts().identity().host());
+      if (isLost) {
+        listener.accept(new HostEvent.PeerLost(peer.facts().identity()));
       }
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/MemorySweep.java
+++ b/org.fawndrum/src/org/fawndrum/transport/MemorySweep.java
@@ -26,8 +26,8 @@
 import org.fawndrum.state.HostListing;
 
 /**
- * Frees what daemons that are gone left on the engines of the zone. Each engine is looked after by
- * one daemon of its zone; when two do for a while, the second finds nothing to free.
+ * Frees streams and memory that terminated daemons left on the engines of the zone. Each engine is
+ * swept by one daemon of its zone; if two sweep it for a while, the second finds nothing to free.
  */
 final class MemorySweep {
   private final HostIdentity self;
@@ -56,49 +56,57 @@
     this.log = log;
   }
 
-  /** Looks once at all engines that are this host's to look after. */
-  void look() {
+  /**
+   * Reads the holdings of all engines assigned to this host and frees those of terminated owners.
+   */
+  void sweepEngines() {
     List<String> others =
         peers.get().stream()
             .filter(peer -> peer.alive() && peer.facts().zone().equals(zone))
             .map(peer -> peer.facts().identity().host())
             .toList();
-    Map<Endpoint, CompletableFuture<Holdings>> asked = new HashMap<>();
+    Map<Endpoint, CompletableFuture<Holdings>> holdingsByEndpoint = new HashMap<>();
     for (Endpoint endpoint : listing.get().endpoints()) {
-      boolean mine =
+      boolean assigned =
           endpoint.kind() == EndpointKind.MODEL
               && endpoint.zone().equals(zone)
               && ZoneDuties.mine(endpoint.name(), self.host(), others);
-      if (mine) {
-        asked.put(
+      if (assigned) {
+        holdingsByEndpoint.put(
             endpoint, engines.read(endpoint, HttpMethod.GET, "/v1/holdings", "", Holdings.class));
       }
     }
-    List<CompletableFuture<?>> settled = new ArrayList<>();
-    asked.values().forEach(one -> settled.add(one.handle((holdings, failure) -> null)));
-    CompletableFuture.allOf(settled.toArray(CompletableFuture[]::new)).thenRun(() -> decide(asked));
+    List<CompletableFuture<?>> finished = new ArrayList<>();
+    holdingsByEndpoint
+        .values()
+        .forEach(future -> finished.add(future.handle((holdings, failure) -> null)));
+    CompletableFuture.allOf(finished.toArray(CompletableFuture[]::new))
+        .thenRun(() -> sweepOrphans(holdingsByEndpoint));
   }
 
-  private synchronized void decide(Map<Endpoint, CompletableFuture<Holdings>> asked) {
+  private synchronized void sweepOrphans(
+      Map<Endpoint, CompletableFuture<Holdings>> holdingsByEndpoint) {
     Map<Endpoint, Set<HostIdentity>> owners = new HashMap<>();
     Set<HostIdentity> all = new HashSet<>();
-    asked.forEach(
+    holdingsByEndpoint.forEach(
         (endpoint, answer) -> {
           if (answer.isCompletedExceptionally()) {
             return;
           }
-          Set<HostIdentity> here = new HashSet<>();
+          Set<HostIdentity> endpointOwners = new HashSet<>();
           for (Holding holding : answer.join().holdings()) {
-            here.add(new HostIdentity(holding.ownerHost(), holding.ownerIncarnation()));
+            endpointOwners.add(new HostIdentity(holding.ownerHost(), holding.ownerIncarnation()));
           }
-          owners.put(endpoint, here);
-          all.addAll(here);
+          owners.put(endpoint, endpointOwners);
+          all.addAll(endpointOwners);
         });
     Set<HostIdentity> sweepable =
         new HashSet<>(rule.sweepable(all, new KnownHosts(), clock.nowMs()));
     owners.forEach(
-        (endpoint, here) ->
-            here.stream().filter(sweepable::contains).forEach(owner -> sweep(endpoint, owner)));
+        (endpoint, endpointOwners) ->
+            endpointOwners.stream()
+                .filter(sweepable::contains)
+                .forEach(owner -> sweep(endpoint, owner)));
   }
 
   private void sweep(Endpoint endpoint, HostIdentity owner) {
@@ -111,7 +119,7 @@
                     LogEvent.SWEPT, endpoint.name(), Integer.toString(swept.streams()), owner));
   }
 
-  /** What this host knows of the others. */
+  /** The host list and the peer views of this host, as input of the {@link SweepRule}. */
   private final class KnownHosts implements SweepRule.Known {
     private final Map<String, PeerView> byName = new HashMap<>();
     private final Set<String> listed = new HashSet<>();
@@ -132,7 +140,7 @@
 
     @Override
     public boolean listed(HostIdentity owner) {
-      // An unread list proves nothing about anybody.
+      // An empty list was not read yet and proves nothing.
       return listed.isEmpty() || listed.contains(owner.host());
     }
 
--- a/org.fawndrum/src/org/fawndrum/transport/OpenExchanges.java
+++ b/org.fawndrum/src/org/fawndrum/transport/OpenExchanges.java
@@ -12,17 +12,17 @@
 import org.fawndrum.coordination.Refusal;
 
 /**
- * The exchanges of requests that have no final answer yet. Carries out what the decisions ask for,
- * each step on its exchange's event loop. Safe for all threads.
+ * The exchanges of requests without a final answer. Runs the actions of the decision thread, each
+ * on the event loop of its exchange. Safe for all threads.
  */
 public final class OpenExchanges {
   private final Map<String, Exchange> exchanges = new ConcurrentHashMap<>();
   private final Consumer<Decision> feed;
 
   /**
-   * Makes an empty set.
+   * Creates an empty set.
    *
-   * @param feed takes each decision; must not block
+   * @param feed receives each decision; must not block
    */
   public OpenExchanges(Consumer<Decision> feed) {
     this.feed = feed;
@@ -39,10 +39,10 @@
   }
 
   /**
-   * Carries out actions.
+   * Runs actions.
    *
-   * @param refused learns of each request that is refused, before its caller does
-   * @param exchangeKnows whether an exchange that handed nothing over proves that nothing ran
+   * @param refused called for each refused request, before the refusal is sent to its caller
+   * @param exchangeKnows whether an exchange that sent nothing proves that the request did not run
    */
   public void carryOut(
       List<Action> actions, BiConsumer<String, Refusal> refused, boolean exchangeKnows) {
@@ -62,10 +62,10 @@
     }
   }
 
-  /** The exchange knows better than the decisions whether an order to send was carried out. */
+  /** Narrows an unknown outcome to "did not run" if the exchange never sent the request. */
   private static void refuse(Exchange exchange, Refusal refusal, boolean exchangeKnows) {
-    boolean surelyNot = exchangeKnows && refusal.ran() == Ran.UNKNOWN && !exchange.everHandedOver();
-    exchange.refuse(surelyNot ? refusal.with(Ran.NO) : refusal);
+    boolean didNotRun = exchangeKnows && refusal.ran() == Ran.UNKNOWN && !exchange.everHandedOver();
+    exchange.refuse(didNotRun ? refusal.with(Ran.NO) : refusal);
   }
 
   private void onExchange(String requestId, Consumer<Exchange> step) {
--- a/org.fawndrum/src/org/fawndrum/transport/OperatorServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/OperatorServer.java
@@ -35,7 +35,7 @@
 import org.fawndrum.state.Publication;
 import org.fawndrum.state.PublicationOutcome;
 
-/** The operators' HTTP address: probes, status, metrics, watch, table and drain. */
+/** HTTP server for operators: probes, status, metrics, watch, table and drain. */
 final class OperatorServer {
   private static final int OK = 200;
   private static final int ACCEPTED = 202;
@@ -46,8 +46,8 @@
   private static final int CONFLICT = 409;
   private static final int UNPROCESSABLE = 422;
   private static final int UNAVAILABLE = 503;
-  private static final long LARGEST_BODY = 8 << 20;
-  private static final long BODY_MS = 10_000;
+  private static final long MAX_BODY_BYTES = 8 << 20;
+  private static final long BODY_SILENCE_MS = 10_000;
 
   private final HttpServer server;
   private final Keyring<OperatorKey> keys;
@@ -71,7 +71,7 @@
       Runnable drain,
       HostLog log) {
     this.keys = new Keyring<>(settings.operatorKeys(), OperatorKey::key);
-    this.bodies = new BodyReader(vertx, LARGEST_BODY, BODY_MS);
+    this.bodies = new BodyReader(vertx, MAX_BODY_BYTES, BODY_SILENCE_MS);
     this.platform = platform;
     this.tables = tables;
     this.feed = feed;
@@ -137,7 +137,7 @@
               .putHeader("x-table-revision", Long.toString(tables.table().revision()))
               .end(TableCsv.write(tables.table()));
       case "/table/history" -> answer(response, OK, OperatorViews.history(tables.table()));
-      default -> readOne(response, path);
+      default -> readItem(response, path);
     }
   }
 
@@ -149,14 +149,19 @@
     }
   }
 
-  private void readOne(HttpServerResponse response, String path) {
+  private void readItem(HttpServerResponse response, String path) {
     String explain = "/explain/";
     String publication = "/table/publications/";
     if (path.startsWith(explain)) {
       feed.story(path.substring(explain.length()))
           .ifPresentOrElse(
               story -> answer(response, OK, story),
-              () -> fail(response, NOT_FOUND, "unknown_request", "no story of it is kept here"));
+              () ->
+                  fail(
+                      response,
+                      NOT_FOUND,
+                      "unknown_request",
+                      "this host keeps no decisions of it"));
     } else if (path.startsWith(publication)) {
       String id = path.substring(publication.length());
       Published published =
@@ -191,32 +196,34 @@
   }
 
   private void publish(HttpServerResponse response, Buffer body, OperatorKey operator) {
-    Publish wish;
+    Publish request;
     try {
-      wish = Json.read(body.getBytes(), Publish.class);
+      request = Json.read(body.getBytes(), Publish.class);
     } catch (IOException e) {
       fail(response, BAD_REQUEST, "bad_request", "the body is not a publication");
       return;
     }
     List<CellChange> changes = new ArrayList<>();
-    String unknown = readChanges(wish, changes);
-    if (unknown != null) {
-      fail(response, UNPROCESSABLE, "unknown_cell", unknown);
+    String invalid = readChanges(request, changes);
+    if (invalid != null) {
+      fail(response, UNPROCESSABLE, "unknown_cell", invalid);
       return;
     }
     Publication publication =
-        new Publication(wish.id(), operator.operator(), wish.editedFrom(), changes);
+        new Publication(request.id(), operator.operator(), request.editedFrom(), changes);
     new PublishChanges(platform, tables, publication)
         .call()
         .whenComplete((outcome, failure) -> published(response, publication, outcome, failure));
   }
 
-  /** Reads the changes of a wish; returns what cannot be read, or null when all can. */
-  private static String readChanges(Publish wish, List<CellChange> changes) {
-    if (wish.changes() == null || wish.id() == null) {
+  /**
+   * Parses the changes of a publication; returns the first invalid one, or null when all are valid.
+   */
+  private static String readChanges(Publish request, List<CellChange> changes) {
+    if (request.changes() == null || request.id() == null) {
       return "id, changes";
     }
-    for (ChangeView change : wish.changes()) {
+    for (ChangeView change : request.changes()) {
       CallerGroup group = change.group() == null ? null : CallerGroup.parse(change.group());
       Column column = change.column() == null ? null : Column.named(change.column());
       if (group == null || column == null) {
--- a/org.fawndrum/src/org/fawndrum/transport/PeerDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PeerDuty.java
@@ -31,21 +31,22 @@
 import org.fawndrum.transport.peer.PeerNetwork;
 
 /**
- * The thread that knows the other daemons: it sends and takes heartbeats, hands what it has to
- * those who lack it, and fetches from others what the platform cannot give.
+ * The thread that tracks the other daemons. It sends and receives heartbeats, answers catch-up
+ * requests, and fetches the table and the host list from a peer when the platform cannot provide
+ * them.
  */
 final class PeerDuty implements AutoCloseable {
-  private static final int RING = 4_096;
+  private static final int RING_CAPACITY = 4_096;
   private static final long TICK_MS = 200;
-  private static final long CATCH_UP_MS = 1_000;
+  private static final long CATCH_UP_RETRY_MS = 1_000;
 
   private final HostIdentity self;
   private final ZoneMembership membership;
   private final PeerNetwork network;
   private final HostClock clock;
   private final Supplier<PeerFacts> ownFacts;
-  private final Holdings holdings;
-  private final Consumer<PeerFacts> heard;
+  private final SharedState holdings;
+  private final Consumer<PeerFacts> heartbeatListener;
   private final HostLog log;
   private final Duty<PeerEvent> duty;
   private volatile List<PeerView> view = List.of();
@@ -53,38 +54,38 @@
   private HostListing listing = HostListing.NONE;
   private long nextCatchUpMs;
 
-  /** What this host holds that others may lack, and where it puts what it gets from them. */
-  interface Holdings {
-    /** Returns the newest table with everybody registered, for another host. */
+  /** The state that this host exchanges with its peers. */
+  interface SharedState {
+    /** Returns the newest table with all registrations, for another host. */
     SnapshotRecord snapshot();
 
-    /** Takes a table from another host. */
-    void take(SnapshotRecord snapshot);
+    /** Accepts a table from another host. */
+    void accept(SnapshotRecord snapshot);
 
-    /** Takes a host list from another host. */
-    void take(HostListing listing);
+    /** Accepts a host list from another host. */
+    void accept(HostListing listing);
 
-    /** Returns the load of the endpoints that this host watches for its zone. */
+    /** Returns the encoded load of the engines that this host polls for its zone. */
     byte[] loadDigest();
 
-    /** Tells whether the platform gives everything, so that other hosts need not be asked. */
-    boolean needsNoPeer();
+    /** Returns whether the platform provides everything, so that no peer needs to be queried. */
+    boolean platformSuffices();
   }
 
-  /** An event of this thread. */
+  /** An event for this thread. */
   sealed interface PeerEvent {
-    /** A heartbeat came. */
-    record Heard(PeerFacts facts) implements PeerEvent {}
+    /** A heartbeat was received. */
+    record HeartbeatReceived(PeerFacts facts) implements PeerEvent {}
 
-    /** A newer host list is known. */
-    record Listed(HostListing listing) implements PeerEvent {}
+    /** A newer host list was read. */
+    record HostsListed(HostListing listing) implements PeerEvent {}
 
-    /** Another host asks for what it lacks. */
-    record CatchUpAsked(CatchUpRequest request, Consumer<PeerMessage.Builder> reply)
+    /** Another host requests the newer table or host list. */
+    record CatchUpRequested(CatchUpRequest request, Consumer<PeerMessage.Builder> reply)
         implements PeerEvent {}
 
-    /** Another host gave what was asked for. */
-    record CaughtUp(CatchUpReply reply) implements PeerEvent {}
+    /** Another host replied to a catch-up request. */
+    record CatchUpReceived(CatchUpReply reply) implements PeerEvent {}
   }
 
   PeerDuty(
@@ -93,8 +94,8 @@
       PeerNetwork network,
       HostClock clock,
       Supplier<PeerFacts> ownFacts,
-      Holdings holdings,
-      Consumer<PeerFacts> heard,
+      SharedState holdings,
+      Consumer<PeerFacts> heartbeatListener,
       HostLog log) {
     this.self = self;
     this.membership = membership;
@@ -102,9 +103,10 @@
     this.clock = clock;
     this.ownFacts = ownFacts;
     this.holdings = holdings;
-    this.heard = heard;
+    this.heartbeatListener = heartbeatListener;
     this.log = log;
-    this.duty = new Duty<>("members", new Ring<>(RING), this::handle, this::tick, TICK_MS, log);
+    this.duty =
+        new Duty<>("members", new Ring<>(RING_CAPACITY), this::handle, this::tick, TICK_MS, log);
   }
 
   void start() {
@@ -116,42 +118,42 @@
     duty.close();
   }
 
-  /** Offers an event; a heartbeat or a question that finds no room is simply sent again. */
+  /** Queues an event. If the ring is full it is dropped; peers repeat heartbeats and requests. */
   void offer(PeerEvent event) {
     duty.offer(event);
   }
 
-  /** Returns the other daemons as last seen. */
+  /** Returns the other daemons as of the last tick. */
   List<PeerView> peers() {
     return view;
   }
 
-  /** Returns the living daemons of the zone as last seen, this host left out. */
+  /** Returns the living daemons of the zone other than this host, as of the last tick. */
   List<PeerFacts> livingInZone() {
     return zoneView;
   }
 
   private void handle(PeerEvent event) {
-    if (event instanceof PeerEvent.Heard one) {
-      heard(one.facts());
-    } else if (event instanceof PeerEvent.Listed listed) {
+    if (event instanceof PeerEvent.HeartbeatReceived heartbeat) {
+      heartbeatReceived(heartbeat.facts());
+    } else if (event instanceof PeerEvent.HostsListed listed) {
       if (listed.listing().version() > listing.version()) {
         listing = listed.listing();
         membership.listed(listing.entryHosts());
       }
-    } else if (event instanceof PeerEvent.CatchUpAsked asked) {
-      asked.reply().accept(PeerCodec.from(self).setCatchUpReply(reply(asked.request())));
-    } else if (event instanceof PeerEvent.CaughtUp caughtUp) {
-      take(caughtUp.reply());
+    } else if (event instanceof PeerEvent.CatchUpRequested requested) {
+      requested.reply().accept(PeerCodec.from(self).setCatchUpReply(reply(requested.request())));
+    } else if (event instanceof PeerEvent.CatchUpReceived received) {
+      applyCatchUp(received.reply());
     }
   }
 
-  private void heard(PeerFacts facts) {
+  private void heartbeatReceived(PeerFacts facts) {
     ZoneMembership.Change change = membership.heard(facts, clock.nowMs());
     if (change == ZoneMembership.Change.ALIVE) {
       log.event(LogEvent.PEER_ALIVE, facts.identity());
     }
-    heard.accept(facts);
+    heartbeatListener.accept(facts);
   }
 
   private CatchUpReply reply(CatchUpRequest request) {
@@ -167,14 +169,14 @@
     return reply.build();
   }
 
-  private void take(CatchUpReply reply) {
+  private void applyCatchUp(CatchUpReply reply) {
     try {
       if (reply.hasSnapshot()) {
-        holdings.take(reply.getSnapshot());
+        holdings.accept(reply.getSnapshot());
       }
       if (!reply.getListingJson().isEmpty()) {
         String json = reply.getListingJson().toString(StandardCharsets.UTF_8);
-        holdings.take(HostListCodec.decode(Json.read(json, HostList.class)));
+        holdings.accept(HostListCodec.decode(Json.read(json, HostList.class)));
       }
     } catch (BadSnapshotException | IOException e) {
       log.failure(LogEvent.PEER_MESSAGE_DROPPED, e, "catch-up");
@@ -188,14 +190,14 @@
     }
     Set<HostAddress> due = membership.dueNow(nowMs);
     if (!due.isEmpty()) {
-      tell(due);
+      sendHeartbeats(due);
     }
     catchUp(nowMs);
     view = membership.peers();
     zoneView = membership.livingInZone();
   }
 
-  private void tell(Set<HostAddress> due) {
+  private void sendHeartbeats(Set<HostAddress> due) {
     Heartbeat.Builder heartbeat = PeerCodec.heartbeat(ownFacts.get());
     heartbeat.setLoadDigest(ByteString.copyFrom(holdings.loadDigest()));
     PeerMessage message = PeerCodec.from(self).setHeartbeat(heartbeat).build();
@@ -203,7 +205,7 @@
   }
 
   private void catchUp(long nowMs) {
-    if (nowMs < nextCatchUpMs || holdings.needsNoPeer()) {
+    if (nowMs < nextCatchUpMs || holdings.platformSuffices()) {
       return;
     }
     PeerFacts own = ownFacts.get();
@@ -211,7 +213,7 @@
         .ahead(own.tablePosition(), own.listingVersion())
         .ifPresent(
             peer -> {
-              nextCatchUpMs = nowMs + CATCH_UP_MS;
+              nextCatchUpMs = nowMs + CATCH_UP_RETRY_MS;
               fetch(peer, own);
             });
   }
@@ -224,6 +226,6 @@
             .build();
     network
         .ask(from.address(), PeerCodec.from(self).setCatchUpRequest(request))
-        .thenAccept(reply -> offer(new PeerEvent.CaughtUp(reply.getCatchUpReply())));
+        .thenAccept(reply -> offer(new PeerEvent.CatchUpReceived(reply.getCatchUpReply())));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/PeerDesk.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PeerMessageHandler.java
@@ -12,14 +12,14 @@
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.transport.peer.PeerNetwork;
 
-/** Hands messages of other daemons to the threads that they concern. */
-final class PeerDesk implements PeerNetwork.Receiver {
+/** Dispatches messages of other daemons to the decision thread and to the {@link PeerDuty}. */
+final class PeerMessageHandler implements PeerNetwork.Receiver {
   private final HostIdentity self;
   private final HostClock clock;
   private final Consumer<HostEvent> decisions;
   private final Consumer<PeerDuty.PeerEvent> members;
 
-  PeerDesk(
+  PeerMessageHandler(
       HostIdentity self,
       HostClock clock,
       Consumer<HostEvent> decisions,
@@ -36,17 +36,19 @@
     switch (message.getBodyCase()) {
       case HEARTBEAT -> heartbeat(sender, message.getHeartbeat());
       case CATCH_UP_REQUEST ->
-          members.accept(new PeerDuty.PeerEvent.CatchUpAsked(message.getCatchUpRequest(), reply));
-      case CLAIM_REQUEST -> claimAsked(message, reply);
+          members.accept(
+              new PeerDuty.PeerEvent.CatchUpRequested(message.getCatchUpRequest(), reply));
+      case CLAIM_REQUEST -> claimRequested(message, reply);
       case LEDGER_HANDOVER ->
           decisions.accept(
-              new HostEvent.Inherited(
+              new HostEvent.ClaimsHandedOver(
                   PeerCodec.inherited(message.getLedgerHandover(), clock.nowMs()),
                   () -> reply.accept(acknowledgement())));
       case LEAVING_NEWS -> {
         for (EndpointStart start : message.getLeavingNews().getEndpointsList()) {
           decisions.accept(
-              new HostEvent.SaidLeaving(new HostIdentity(start.getHost(), start.getIncarnation())));
+              new HostEvent.EndpointDraining(
+                  new HostIdentity(start.getHost(), start.getIncarnation())));
         }
       }
       default -> {}
@@ -54,10 +56,10 @@
   }
 
   private void heartbeat(HostIdentity sender, Heartbeat heartbeat) {
-    members.accept(new PeerDuty.PeerEvent.Heard(PeerCodec.facts(sender, heartbeat)));
+    members.accept(new PeerDuty.PeerEvent.HeartbeatReceived(PeerCodec.facts(sender, heartbeat)));
     if (!heartbeat.getLoadDigest().isEmpty()) {
       byte[] digest = heartbeat.getLoadDigest().toByteArray();
-      decisions.accept(new HostEvent.LoadsTold(LoadDigest.read(digest)));
+      decisions.accept(new HostEvent.PeerLoadsReported(LoadDigest.read(digest)));
     }
   }
 
@@ -65,13 +67,13 @@
     return PeerCodec.from(self).setAcknowledgement(Acknowledgement.getDefaultInstance());
   }
 
-  private void claimAsked(PeerMessage message, Consumer<PeerMessage.Builder> reply) {
+  private void claimRequested(PeerMessage message, Consumer<PeerMessage.Builder> reply) {
     ClaimKey key = ClaimKey.parse(message.getClaimRequest().getKey());
     if (key == null) {
       return;
     }
     decisions.accept(
-        new HostEvent.ClaimAsked(
+        new HostEvent.ClaimRequested(
             key,
             answer ->
                 reply.accept(PeerCodec.from(self).setClaimReply(PeerCodec.claimReply(answer)))));
--- a/org.fawndrum/src/org/fawndrum/transport/PlainExchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PlainExchange.java
@@ -17,14 +17,14 @@
 import org.fawndrum.coordination.RequestFacts;
 
 /**
- * A call of a plain service on its way. The answer is held until it is whole, so that a cut one is
- * never handed on.
+ * A call of a plain service in progress. The response is buffered until it is complete, so that a
+ * truncated one is never forwarded. Confined to the event loop of its caller's connection.
  */
 final class PlainExchange implements Exchange {
-  /** A service says that it did not and will not run the call: this header with value "no". */
+  /** Response header; the value "no" means that the service did not and will not run the call. */
   static final String RAN_HEADER = "x-ran";
 
-  private static final Set<String> NOT_HANDED_ON =
+  private static final Set<String> NOT_FORWARDED_HEADERS =
       Set.of(
           "connection",
           "content-length",
@@ -43,12 +43,12 @@
   private final Context context;
   private final HttpClientAgent client;
   private final AttemptListener attempts;
-  private Action.Send sent;
+  private Action.Send current;
   private HttpClientRequest request;
-  private boolean handedOver;
-  private boolean over;
+  private boolean requestSent;
+  private boolean completed;
 
-  /** What the caller asked for. */
+  /** The parts of the request of the caller that are forwarded. */
   record PlainCall(HttpMethod method, String uri, MultiMap headers, Buffer body) {}
 
   PlainExchange(
@@ -73,11 +73,11 @@
 
   @Override
   public void send(Action.Send send) {
-    if (over) {
+    if (completed) {
       attempts.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
-    sent = send;
+    current = send;
     RequestOptions options =
         new RequestOptions()
             .setMethod(call.method())
@@ -91,50 +91,50 @@
                 onLoop(
                     () -> {
                       if (connected.succeeded()) {
-                        connected(send, connected.result());
+                        sendRequest(send, connected.result());
                       } else {
                         attempts.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
                       }
                     }));
   }
 
-  private void connected(Action.Send send, HttpClientRequest ready) {
-    if (over || send != sent) {
-      ready.reset();
+  private void sendRequest(Action.Send send, HttpClientRequest connected) {
+    if (completed || send != current) {
+      connected.reset();
       attempts.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
-    request = ready;
-    handedOver = true;
-    copyHeaders(call.headers(), ready.headers());
-    ready.putHeader("x-request-id", facts.requestId());
-    ready
+    request = connected;
+    requestSent = true;
+    copyHeaders(call.headers(), connected.headers());
+    connected.putHeader("x-request-id", facts.requestId());
+    connected
         .send(call.body())
-        .compose(answer -> answer.body().map(body -> new WholeAnswer(answer, body)))
+        .compose(answer -> answer.body().map(body -> new CompleteResponse(answer, body)))
         .onComplete(
             done ->
                 onLoop(
                     () -> {
                       if (done.succeeded()) {
-                        answered(send, done.result());
+                        handleResponse(send, done.result());
                       } else {
                         attempts.happened(send.attempt(), AttemptEvent.LOST);
                       }
                     }));
   }
 
-  /** A service's answer with its whole body. */
-  private record WholeAnswer(HttpClientResponse head, Buffer body) {}
+  /** A response of a service with its complete body. */
+  private record CompleteResponse(HttpClientResponse head, Buffer body) {}
 
-  private void answered(Action.Send send, WholeAnswer answer) {
-    if (over || send != sent) {
+  private void handleResponse(Action.Send send, CompleteResponse answer) {
+    if (completed || send != current) {
       return;
     }
     if ("no".equals(answer.head().getHeader(RAN_HEADER))) {
       attempts.happened(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT);
       return;
     }
-    over = true;
+    completed = true;
     attempts.happened(send.attempt(), AttemptEvent.ANSWERED);
     if (response.closed()) {
       return;
@@ -149,7 +149,7 @@
   private static void copyHeaders(MultiMap from, MultiMap to) {
     from.forEach(
         header -> {
-          if (!NOT_HANDED_ON.contains(header.getKey().toLowerCase(java.util.Locale.ROOT))) {
+          if (!NOT_FORWARDED_HEADERS.contains(header.getKey().toLowerCase(java.util.Locale.ROOT))) {
             to.add(header.getKey(), header.getValue());
           }
         });
@@ -157,22 +157,22 @@
 
   @Override
   public void cancel(Action.Cancel cancel) {
-    if (request != null && sent != null && cancel.attempt().equals(sent.attempt())) {
+    if (request != null && current != null && cancel.attempt().equals(current.attempt())) {
       request.reset();
     }
   }
 
   @Override
   public boolean everHandedOver() {
-    return handedOver;
+    return requestSent;
   }
 
   @Override
   public void refuse(Refusal refusal) {
-    if (over) {
+    if (completed) {
       return;
     }
-    over = true;
+    completed = true;
     CallerResponse.refuse(response, facts.requestId(), refusal);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/PublishChanges.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PublishChanges.java
@@ -13,11 +13,11 @@
 import org.fawndrum.state.ReplayPublication;
 
 /**
- * Publishes changed cells: appends them to the log and waits until replay has decided. Only replay
- * decides; a lost confirmation of the append is settled by what the log holds.
+ * Publishes changed cells: appends them to the log and waits for the outcome. Replaying the log
+ * decides the outcome, also when the confirmation of the append is lost.
  */
 final class PublishChanges {
-  private static final long OUTCOME_MS = 5_000;
+  private static final long OUTCOME_TIMEOUT_MS = 5_000;
 
   private final PlatformLog platform;
   private final TableStore tables;
@@ -30,24 +30,25 @@
   }
 
   /**
-   * Gives the outcome. Fails with {@code BadCellsException} when nothing was appended, and with
-   * {@code PublicationOutcomeUnknownException} when the log cannot tell yet.
+   * Returns the outcome of the publication. The future fails with {@code BadCellsException} when a
+   * cell is invalid and nothing was appended, and with {@code PublicationOutcomeUnknownException}
+   * when the publication was not replayed within five seconds.
    */
   CompletableFuture<PublicationOutcome> call() {
     List<PublicationOutcome.BadCell> bad = ReplayPublication.badCells(publication.changes());
     if (!bad.isEmpty()) {
       return CompletableFuture.failedFuture(new BadCellsException(bad));
     }
-    // Whether the append was confirmed does not matter: only what replay finds in the log does.
+    // The result of the append is ignored: only the replay of the log decides the outcome.
     platform.append(LogCodec.publication(publication));
     String id = publication.id();
     return tables
         .outcome(id)
         .copy()
-        .orTimeout(OUTCOME_MS, TimeUnit.MILLISECONDS)
+        .orTimeout(OUTCOME_TIMEOUT_MS, TimeUnit.MILLISECONDS)
         .exceptionallyCompose(
-            late ->
-                CompletableFuture.failedFuture(new PublicationOutcomeUnknownException(id, late)))
+            timeout ->
+                CompletableFuture.failedFuture(new PublicationOutcomeUnknownException(id, timeout)))
         .whenComplete((outcome, failure) -> tables.forget(id));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/RequestIds.java
+++ b/org.fawndrum/src/org/fawndrum/transport/RequestIds.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.fawndrum.state.HostIdentity;
 
-/** Gives out request ids that are unique over hosts and restarts. Safe for all threads. */
+/** Generates request ids that are unique across hosts and restarts. Safe for all threads. */
 final class RequestIds {
   private static final int RADIX = 36;
 
--- a/org.fawndrum/src/org/fawndrum/transport/RequestIntake.java
+++ b/org.fawndrum/src/org/fawndrum/transport/RequestIntake.java
@@ -20,13 +20,13 @@
 import org.fawndrum.state.EndpointKind;
 import org.fawndrum.state.Row;
 
-/** Turns whole requests of known callers into facts and hands them to the decisions. */
+/** Validates complete requests of authenticated callers and queues them for the decision thread. */
 final class RequestIntake implements CallerServer.Intake {
-  /** A header with the caller's own time limit, in milliseconds. */
+  /** Request header with a deadline set by the caller, in milliseconds after arrival. */
   static final String DEADLINE_HEADER = "x-fawndrum-deadline-ms";
 
   private static final long DEFAULT_ANSWER_TOKENS = 256;
-  private static final long LONGEST_ANSWER_TOKENS = 65_536;
+  private static final long MAX_ANSWER_TOKENS = 65_536;
   private static final long FULL_RING_RETRY_MS = 250;
 
   private final Vertx vertx;
@@ -67,7 +67,7 @@
             promptTokens,
             answerTokens(call, chat),
             clock.nowMs(),
-            wantedMs(call),
+            requestedDeadlineMs(call),
             true,
             PromptMeasure.prefixes(prompt));
     Context context = vertx.getOrCreateContext();
@@ -78,7 +78,7 @@
   @Override
   public void plain(CallerServer.Call call) {
     HttpServerRequest request = call.request();
-    Row row = tables.table().row(call.group()).orElseThrow(() -> noRow(call));
+    Row row = tables.table().row(call.group()).orElseThrow(() -> missingRow(call));
     String service =
         row.serviceFor(request.path()).orElseThrow(() -> refused(call, RefusalKind.NO_ROUTE));
     RequestFacts facts =
@@ -89,35 +89,35 @@
             0,
             0,
             clock.nowMs(),
-            wantedMs(call),
+            requestedDeadlineMs(call),
             row.repeatable(),
             List.of());
     PlainExchange.PlainCall plain =
         new PlainExchange.PlainCall(
             request.method(), request.uri(), request.headers(), call.body());
     Context context = vertx.getOrCreateContext();
-    HostEvent.Claimed claim = row.repeatable() ? null : SendingEvidence.claim(call);
+    HostEvent.ClaimInfo claim = row.repeatable() ? null : IdempotencyHeaders.claim(call);
     Exchange exchange = exchanges.plain(facts, plain, call.response(), context);
     submit(call, facts, claim, exchange);
   }
 
   private void submit(
-      CallerServer.Call call, RequestFacts facts, HostEvent.Claimed claim, Exchange exchange) {
+      CallerServer.Call call, RequestFacts facts, HostEvent.ClaimInfo claim, Exchange exchange) {
     call.response()
         .closeHandler(
             v -> {
-              // The handler also runs after a whole answer, when nobody has gone.
+              // This handler also runs after a complete answer.
               if (!call.response().ended()) {
-                decisions.offer(new HostEvent.CallerGone(facts.requestId()));
+                decisions.offer(new HostEvent.CallerDisconnected(facts.requestId()));
               }
             });
-    if (!decisions.arrived(new HostEvent.Arrived(facts, claim), exchange)) {
+    if (!decisions.arrived(new HostEvent.RequestArrived(facts, claim), exchange)) {
       throw new RefusedException(
           facts.requestId(), Refusal.of(RefusalKind.HOST_BUSY, Ran.NO, FULL_RING_RETRY_MS));
     }
   }
 
-  private RefusedException noRow(CallerServer.Call call) {
+  private RefusedException missingRow(CallerServer.Call call) {
     return tables.table().revision() < 0
         ? new RefusedException(
             call.requestId(), Refusal.of(RefusalKind.NO_TABLE, Ran.NO, FULL_RING_RETRY_MS))
@@ -156,26 +156,26 @@
   }
 
   private static long answerTokens(CallerServer.Call call, ChatRequest chat) {
-    Long wanted =
+    Long requested =
         chat.maxCompletionTokens() != null ? chat.maxCompletionTokens() : chat.maxTokens();
-    if (wanted == null) {
+    if (requested == null) {
       return DEFAULT_ANSWER_TOKENS;
     }
-    if (wanted < 1 || wanted > LONGEST_ANSWER_TOKENS) {
+    if (requested < 1 || requested > MAX_ANSWER_TOKENS) {
       throw refused(call, RefusalKind.INVALID_REQUEST);
     }
-    return wanted;
+    return requested;
   }
 
-  private static long wantedMs(CallerServer.Call call) {
+  private static long requestedDeadlineMs(CallerServer.Call call) {
     String header = call.request().getHeader(DEADLINE_HEADER);
     if (header == null) {
       return 0;
     }
     try {
-      long wanted = Long.parseLong(header.strip());
-      if (wanted > 0) {
-        return wanted;
+      long deadlineMs = Long.parseLong(header.strip());
+      if (deadlineMs > 0) {
+        return deadlineMs;
       }
     } catch (NumberFormatException e) {
       throw refused(call, RefusalKind.INVALID_REQUEST);
--- a/org.fawndrum/src/org/fawndrum/transport/RequestMetrics.java
+++ b/org.fawndrum/src/org/fawndrum/transport/RequestMetrics.java
@@ -18,28 +18,29 @@
 import org.mpierce.metrics.reservoir.hdrhistogram.HdrHistogramResetOnSnapshotReservoir;
 
 /**
- * Histograms for each workspace and length class: time to first token, time between tokens and
- * queue time, in milliseconds, and counts of outcomes. The number of histograms is bounded: a
- * workspace that comes when all are in use is counted under {@code other}. Safe for all threads.
+ * Histograms of time to first token, time between tokens and queue time in milliseconds, and
+ * counters of outcomes, each by workspace and length class. The number of histograms is bounded:
+ * once {@link #MAX_WORKSPACES} workspaces are recorded, others count as {@code other}. Safe for all
+ * threads.
  */
-public final class RequestMetrics implements StreamTimes {
-  /** The most workspaces that have histograms of their own. */
-  public static final int MOST_WORKSPACES = 200;
+public final class RequestMetrics implements TokenListener {
+  /** Maximum number of workspaces with histograms of their own. */
+  public static final int MAX_WORKSPACES = 200;
 
-  /** Up to so many engines that read a prompt together count as few. */
-  private static final int FEW_ENGINES = 4;
+  /** Maximum number of engines in the class {@code few} of engines that prefill one prompt. */
+  private static final int MAX_FEW_ENGINES = 4;
 
   private static final String OTHER = "other";
-  private static final long LONGEST_MS = 86_400_000;
-  private static final int DIGITS = 1;
+  private static final long MAX_VALUE_MS = 86_400_000;
+  private static final int SIGNIFICANT_DIGITS = 1;
 
   private final MetricRegistry registry;
   private final HostClock clock;
   private final Map<String, Boolean> workspaces = new ConcurrentHashMap<>();
-  private final Map<String, Long> lastToken = new ConcurrentHashMap<>();
+  private final Map<String, Long> lastTokenMs = new ConcurrentHashMap<>();
   private final Map<String, Boolean> placed = new ConcurrentHashMap<>();
 
-  /** Makes the metrics. */
+  /** Creates the metrics in a registry. */
   public RequestMetrics(MetricRegistry registry, HostClock clock) {
     this.registry = registry;
     this.clock = clock;
@@ -49,14 +50,14 @@
     if (workspaces.containsKey(name)) {
       return name;
     }
-    if (workspaces.size() >= MOST_WORKSPACES) {
+    if (workspaces.size() >= MAX_WORKSPACES) {
       return OTHER;
     }
     workspaces.put(name, Boolean.TRUE);
     return name;
   }
 
-  /** Returns the length class of a prompt: the decade of its length in tokens. */
+  /** Returns the length class of a prompt by its tokens; {@code plain} for 0 tokens. */
   static String lengthClass(long promptTokens) {
     if (promptTokens == 0) {
       return "plain";
@@ -76,7 +77,8 @@
         name,
         () ->
             new Histogram(
-                new HdrHistogramResetOnSnapshotReservoir(new Recorder(1, LONGEST_MS, DIGITS))));
+                new HdrHistogramResetOnSnapshotReservoir(
+                    new Recorder(1, MAX_VALUE_MS, SIGNIFICANT_DIGITS))));
   }
 
   private Counter counter(String what, String workspace, long promptTokens) {
@@ -84,7 +86,7 @@
         MetricRegistry.name(what, workspace(workspace), lengthClass(promptTokens)));
   }
 
-  /** Counts a decision. */
+  /** Records a decision in the histograms and counters. */
   public void decided(Decision decision) {
     String workspace = decision.group().workspace();
     long tokens = decision.promptTokens();
@@ -97,33 +99,33 @@
       }
       case FIRST_TOKEN -> {
         histogram("firstTokenMs", workspace, tokens).update(sinceMs);
-        decision.reading().ifPresent(reading -> expected(reading, tokens));
+        decision.reading().ifPresent(reading -> recordForecastError(reading, tokens));
       }
-      case FINISHED, REFUSED -> ended(decision, workspace, tokens);
+      case FINISHED, REFUSED -> countOutcome(decision, workspace, tokens);
       default -> {}
     }
   }
 
-  /** Notes by how much the first token came later or sooner than expected. */
-  private void expected(Reading reading, long promptTokens) {
+  /** Records the difference between the expected and the actual time of the first token. */
+  private void recordForecastError(Reading reading, long promptTokens) {
     long laterMs = reading.laterMs();
     String what = laterMs >= 0 ? "laterThanExpectedMs" : "soonerThanExpectedMs";
     String name = MetricRegistry.name(what, lengthClass(promptTokens), enginesClass(reading));
     histogram(name).update(Math.max(1, Math.abs(laterMs)));
   }
 
-  /** Returns the class of a reading by its number of engines. */
+  /** Returns the class of a prefill by its number of engines: one, few or many. */
   private static String enginesClass(Reading reading) {
     int engines = reading.engines().size();
     if (engines == 1) {
       return "one";
     }
-    return engines <= FEW_ENGINES ? "few" : "many";
+    return engines <= MAX_FEW_ENGINES ? "few" : "many";
   }
 
-  private void ended(Decision decision, String workspace, long tokens) {
+  private void countOutcome(Decision decision, String workspace, long tokens) {
     placed.remove(decision.requestId());
-    lastToken.remove(decision.requestId());
+    lastTokenMs.remove(decision.requestId());
     String outcome =
         decision.kind() == DecisionKind.FINISHED
             ? "finished"
@@ -132,27 +134,27 @@
   }
 
   @Override
-  public void tokens(RequestFacts facts, int count) {
+  public void tokensForwarded(RequestFacts facts, int count) {
     long nowMs = clock.nowMs();
-    Long beforeMs = lastToken.put(facts.requestId(), nowMs);
+    Long beforeMs = lastTokenMs.put(facts.requestId(), nowMs);
     if (beforeMs != null) {
       long gapMs = Math.max(1, nowMs - beforeMs);
       histogram("betweenTokensMs", facts.group().workspace(), facts.promptTokens()).update(gapMs);
     }
   }
 
-  /** Returns all values by name. Histograms begin anew with each reading. */
+  /** Returns all values by metric name. Each call resets the histograms. */
   public Map<String, Map<String, Number>> values() {
     Map<String, Map<String, Number>> values = new TreeMap<>();
-    registry.getHistograms().forEach((name, one) -> values.put(name, summary(one)));
+    registry.getHistograms().forEach((name, histogram) -> values.put(name, summary(histogram)));
     registry
         .getCounters()
-        .forEach((name, one) -> values.put(name, Map.of("count", one.getCount())));
+        .forEach((name, counter) -> values.put(name, Map.of("count", counter.getCount())));
     registry
         .getGauges()
         .forEach(
-            (name, one) -> {
-              if (one.getValue() instanceof Number number) {
+            (name, gauge) -> {
+              if (gauge.getValue() instanceof Number number) {
                 values.put(name, Map.of("value", number));
               }
             });
@@ -170,7 +172,7 @@
     return summary;
   }
 
-  /** Returns all values in the text form that common scrapers read. */
+  /** Returns all values in the text format of common scrapers. Each call resets the histograms. */
   public String text() {
     StringBuilder text = new StringBuilder();
     values()
--- a/org.fawndrum/src/org/fawndrum/transport/RetireHost.java
+++ b/org.fawndrum/src/org/fawndrum/transport/RetireHost.java
@@ -17,15 +17,16 @@
 import org.fawndrum.transport.peer.PeerNetwork;
 
 /**
- * The last step of a planned stop: hands the keys of calls that may not be repeated to the living
- * daemons of the zone, then tells the log that this incarnation runs none any more. Without a
- * daemon that took them the log is not told, so that others go on counting on keys they cannot see.
+ * The last step of a planned shutdown: hands the keys of calls that must not be repeated over to
+ * the living daemons of the zone, then appends to the log that this incarnation is retired. If no
+ * daemon accepted the keys nothing is appended, so that the others still assume that this
+ * incarnation may hold keys they do not know.
  */
 final class RetireHost {
   private final Registration registration;
   private final PeerNetwork network;
   private final PlatformLog platform;
-  private final List<PeerFacts> heirs;
+  private final List<PeerFacts> successors;
   private final long nowMs;
   private final HostLog log;
 
@@ -35,39 +36,41 @@
       HostAddress peerAddress,
       PeerNetwork network,
       PlatformLog platform,
-      List<PeerFacts> heirs,
+      List<PeerFacts> successors,
       long nowMs,
       HostLog log) {
     this.registration = new Registration(self, zone, peerAddress, true);
     this.network = network;
     this.platform = platform;
-    this.heirs = heirs;
+    this.successors = successors;
     this.nowMs = nowMs;
     this.log = log;
   }
 
-  /** Gives true when the keys were handed over and the log was told. */
+  /** Returns whether the keys were handed over and the retirement was appended to the log. */
   CompletableFuture<Boolean> call(List<OnceLedger.Inherited> keys) {
-    List<CompletableFuture<Boolean>> asked = new ArrayList<>();
-    for (PeerFacts heir : heirs) {
-      asked.add(
+    List<CompletableFuture<Boolean>> replies = new ArrayList<>();
+    for (PeerFacts successor : successors) {
+      replies.add(
           network
               .ask(
-                  heir.address(),
+                  successor.address(),
                   PeerCodec.from(registration.identity())
                       .setLedgerHandover(PeerCodec.handover(keys, nowMs)))
               .handle((reply, failure) -> failure == null));
     }
-    return CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new))
+    return CompletableFuture.allOf(replies.toArray(CompletableFuture[]::new))
         .thenCompose(
-            all -> tellLog(keys.size(), asked.stream().filter(CompletableFuture::join).count()));
+            all ->
+                appendRetirement(
+                    keys.size(), replies.stream().filter(CompletableFuture::join).count()));
   }
 
-  private CompletableFuture<Boolean> tellLog(int keys, long taken) {
-    if (taken == 0) {
+  private CompletableFuture<Boolean> appendRetirement(int keys, long accepted) {
+    if (accepted == 0) {
       return CompletableFuture.completedFuture(false);
     }
-    log.event(LogEvent.HANDED_OVER, Integer.toString(keys), Long.toString(taken));
+    log.event(LogEvent.HANDED_OVER, Integer.toString(keys), Long.toString(accepted));
     return platform
         .append(LogCodec.registration(registration))
         .handle((offset, failure) -> failure == null);
--- a/org.fawndrum/src/org/fawndrum/transport/ServerOptions.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ServerOptions.java
@@ -8,11 +8,11 @@
 import org.fawndrum.settings.TlsSettings;
 
 /**
- * Turns settings into the options of an HTTP server. Only HTTP/1.1 is spoken: a connection then
- * carries one request at a time, and closing it concerns no other.
+ * Creates the options of an HTTP server from settings. Only HTTP/1.1 is enabled: a connection
+ * carries one request at a time, so that closing it affects no other request.
  */
 final class ServerOptions {
-  private static final int LONGEST_REQUEST_LINE = 8_192;
+  private static final int MAX_REQUEST_LINE_LENGTH = 8_192;
 
   private ServerOptions() {}
 
@@ -22,7 +22,7 @@
             .setHost(listen.address().ip())
             .setPort(listen.address().port())
             .setMaxHeaderSize(headerBytes)
-            .setMaxInitialLineLength(LONGEST_REQUEST_LINE)
+            .setMaxInitialLineLength(MAX_REQUEST_LINE_LENGTH)
             .setHttp2ClearTextEnabled(false)
             .setUseAlpn(false);
     listen.tls().ifPresent(tls -> encrypt(options, tls));
--- a/org.fawndrum/src/org/fawndrum/transport/SuspendAwareClock.java
+++ b/org.fawndrum/src/org/fawndrum/transport/SuspendAwareClock.java
@@ -6,46 +6,49 @@
 import java.util.function.LongConsumer;
 
 /**
- * A clock that counts the time for which its machine was suspended, in which the steady clock
- * stands still. It is the one place that notices: to all else a suspension then looks like a
- * process that stood still for as long, so that leases, reports and deadlines are as old as they
- * really are.
+ * A clock that includes the time for which the machine was suspended, during which the monotonic
+ * clock stops. To all other code a suspension then looks like a pause of the process of the same
+ * length, so that leases, reports and deadlines have their real age.
  *
- * <p>The time of day jumps for other reasons too, and the time since the machine's start may be
- * told by a machine around this one, at another pace; only where both run ahead of the steady clock
- * at the same moment was it suspended. The time of day is compared with each reading, which costs
- * no system call; the time since the start is read once a second and when the former jumps.
+ * <p>The wall clock also jumps for other reasons, and the time since boot may come from an
+ * enclosing machine and run at another rate. A suspension is therefore detected only when both jump
+ * ahead of the monotonic clock at the same time. The wall clock is compared at each call, which
+ * needs no system call; the time since boot is read once a second and whenever the wall clock
+ * jumps.
  *
  * <p>Safe for all threads; never runs backwards.
  */
 final class SuspendAwareClock implements HostClock {
-  /** Shorter suspensions are passed over, in milliseconds: clocks are set by less as they run. */
-  static final long SHORTEST_MS = 250;
+  /**
+   * Minimum detected suspension, in milliseconds; running clocks are adjusted by less than this.
+   */
+  static final long MIN_SUSPENSION_MS = 250;
 
-  /** After how long the clocks are compared anew in any case, in milliseconds. */
-  private static final long COMPARE_MS = 1_000;
+  /** Maximum time between two comparisons of all clocks, in milliseconds. */
+  private static final long MAX_COMPARE_INTERVAL_MS = 1_000;
 
   private final ClockSources sources;
-  private final LongConsumer suspended;
+  private final LongConsumer suspensionListener;
   private final long startMs;
   private final long startNanos;
   private volatile long suspendedMs;
   private volatile long comparedMs;
 
-  /** By how much the time of day was ahead of the steady clock when they were last compared. */
+  /** Lead of the wall clock over the monotonic clock at the last comparison, in milliseconds. */
   private volatile long wallAheadMs;
 
-  /** The same for the time since the machine's start. */
+  /** Lead of the time since boot over the monotonic clock at the last comparison, if known. */
   private OptionalLong bootAheadMs;
 
   /**
-   * Makes the clock; it begins at the time of day.
+   * Creates the clock, which starts at the wall clock.
    *
-   * @param suspended hears of each suspension, by its length in milliseconds; must not block
+   * @param suspensionListener receives the length of each suspension in milliseconds; must not
+   *     block
    */
-  SuspendAwareClock(ClockSources sources, LongConsumer suspended) {
+  SuspendAwareClock(ClockSources sources, LongConsumer suspensionListener) {
     this.sources = sources;
-    this.suspended = suspended;
+    this.suspensionListener = suspensionListener;
     this.startMs = sources.wallMs();
     this.startNanos = sources.steadyNanos();
     this.bootAheadMs = sources.bootMs();
@@ -54,8 +57,8 @@
   @Override
   public long nowMs() {
     long steadyMs = steadyMs();
-    boolean jumped = Math.abs(wallAhead(steadyMs) - wallAheadMs) >= SHORTEST_MS;
-    if (jumped || steadyMs - comparedMs >= COMPARE_MS) {
+    boolean jumped = Math.abs(wallAhead(steadyMs) - wallAheadMs) >= MIN_SUSPENSION_MS;
+    if (jumped || steadyMs - comparedMs >= MAX_COMPARE_INTERVAL_MS) {
       compare();
     }
     return startMs + steadyMs + suspendedMs;
@@ -82,12 +85,15 @@
     wallAheadMs = wallAhead;
     bootAheadMs = bootAhead;
     comparedMs = steadyMs;
-    // The time of day may be set at the same moment; half of it is more than other jumps explain.
-    if (wallJumpMs >= SHORTEST_MS && bootJumpMs >= SHORTEST_MS && 2 * bootJumpMs >= wallJumpMs) {
-      // An age that is taken for too high costs a question, one that is too low a broken promise.
-      long lastedMs = Math.max(wallJumpMs, bootJumpMs);
-      suspendedMs += lastedMs;
-      suspended.accept(lastedMs);
+    // The wall clock may be set at the same time. A boot time jump of at least half of its jump is
+    // more than a clock that runs at another rate explains.
+    if (wallJumpMs >= MIN_SUSPENSION_MS
+        && bootJumpMs >= MIN_SUSPENSION_MS
+        && 2 * bootJumpMs >= wallJumpMs) {
+      // An age that is too high costs a query; one that is too low breaks a guarantee.
+      long durationMs = Math.max(wallJumpMs, bootJumpMs);
+      suspendedMs += durationMs;
+      suspensionListener.accept(durationMs);
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/TableStore.java
+++ b/org.fawndrum/src/org/fawndrum/transport/TableStore.java
@@ -11,12 +11,12 @@
 import org.fawndrum.state.TableRevision;
 
 /**
- * The newest table that this host knows, from the log or from a peer. The position only grows. Safe
- * for all threads.
+ * Holds the newest table that this host has received from the log or from a peer. Its position
+ * never decreases. Safe for all threads.
  */
 public final class TableStore {
   private final List<Consumer<TableRevision>> listeners = new CopyOnWriteArrayList<>();
-  private final Map<String, CompletableFuture<PublicationOutcome>> awaited =
+  private final Map<String, CompletableFuture<PublicationOutcome>> pendingOutcomes =
       new ConcurrentHashMap<>();
   private volatile TableRevision table = TableRevision.EMPTY;
 
@@ -25,12 +25,12 @@
     return table;
   }
 
-  /** Adds a listener, called on the thread that brings a newer table. */
+  /** Adds a listener, which is called on the thread that offers a newer table. */
   public void onNewer(Consumer<TableRevision> listener) {
     listeners.add(listener);
   }
 
-  /** Takes a table if it is newer than the one known; returns whether it was. */
+  /** Replaces the table if {@code newer} has a higher position; returns whether it did. */
   public boolean offer(TableRevision newer) {
     synchronized (this) {
       if (newer.position() <= table.position()) {
@@ -39,27 +39,27 @@
       table = newer;
     }
     listeners.forEach(listener -> listener.accept(newer));
-    awaited.forEach(
-        (id, future) -> newer.outcome(id).ifPresent(outcome -> settle(id, future, outcome)));
+    pendingOutcomes.forEach(
+        (id, future) -> newer.outcome(id).ifPresent(outcome -> complete(id, future, outcome)));
     return true;
   }
 
-  private void settle(
+  private void complete(
       String id, CompletableFuture<PublicationOutcome> future, PublicationOutcome outcome) {
-    awaited.remove(id);
+    pendingOutcomes.remove(id);
     future.complete(outcome);
   }
 
-  /** Gives the outcome of a publication once the log has decided it. */
+  /** Completes with the outcome of a publication once the publication is replayed from the log. */
   public CompletableFuture<PublicationOutcome> outcome(String publicationId) {
     CompletableFuture<PublicationOutcome> future =
-        awaited.computeIfAbsent(publicationId, id -> new CompletableFuture<>());
-    table.outcome(publicationId).ifPresent(outcome -> settle(publicationId, future, outcome));
+        pendingOutcomes.computeIfAbsent(publicationId, id -> new CompletableFuture<>());
+    table.outcome(publicationId).ifPresent(outcome -> complete(publicationId, future, outcome));
     return future;
   }
 
-  /** Waits no longer for the outcome of a publication. */
+  /** Stops waiting for the outcome of a publication; its future is not completed any more. */
   public void forget(String publicationId) {
-    awaited.remove(publicationId);
+    pendingOutcomes.remove(publicationId);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/TrustedConnections.java
+++ b/org.fawndrum/src/org/fawndrum/transport/TrustedConnections.java
@@ -7,13 +7,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Tells which connections were opened after this host was registered. Only on those does a caller's
- * count of its sendings prove that a call is sent for the first time: what was sent before may have
- * waited in a socket while the caller tried another host, which did not know this one yet.
+ * Tracks which connections were opened after this host was registered. Only on those does a retry
+ * count of 0 prove that a call is sent for the first time: an earlier call may have waited in a
+ * socket while its caller tried another host, which did not know this host yet. Safe for all
+ * threads.
  */
 final class TrustedConnections {
-  private static final long LOOK_MS = 100;
-  private static final int LOOKS = 10;
+  private static final long ROUND_MS = 100;
+  private static final int MIN_ROUNDS = 10;
 
   private final Vertx vertx;
   private final Map<HttpConnection, Boolean> open = new ConcurrentHashMap<>();
@@ -24,16 +25,16 @@
   }
 
   /**
-   * Takes note that this host is registered. Connections are trusted some rounds of the event loop
-   * later, counted in rounds and not in time, so that everything is accepted that waited before,
-   * also when the process was frozen meanwhile.
+   * Called once this host is registered. New connections are trusted after ten timer rounds of the
+   * event loop. Rounds are counted rather than time, so that all connections that were waiting are
+   * accepted before, even if the process was frozen in between.
    */
   void registered() {
-    int[] looks = {0};
+    int[] rounds = {0};
     vertx.setPeriodic(
-        LOOK_MS,
+        ROUND_MS,
         timer -> {
-          if (++looks[0] >= LOOKS) {
+          if (++rounds[0] >= MIN_ROUNDS) {
             trusting = true;
             vertx.cancelTimer(timer);
           }
--- a/org.fawndrum/src/org/fawndrum/transport/UnreadableHead.java
+++ b/org.fawndrum/src/org/fawndrum/transport/UnreadableHead.java
@@ -6,11 +6,11 @@
 import io.vertx.core.http.HttpServerRequest;
 import org.fawndrum.coordination.RefusalKind;
 
-/** Tells what is wrong with a request whose head the server could not read. */
+/** Classifies requests whose head the HTTP server could not parse. */
 public final class UnreadableHead {
   private UnreadableHead() {}
 
-  /** Returns the kind of refusal that such a request gets. */
+  /** Returns the refusal for a request with a decoder failure. */
   public static RefusalKind kind(HttpServerRequest request) {
     Throwable cause = request.decoderResult().cause();
     boolean tooLarge =
--- a/org.fawndrum/src/org/fawndrum/transport/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/transport/package-info.java
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: Apache-2.0
-/** Sockets and threads around the decisions: Vert.x for HTTP, Netty between daemons. */
+/** Servers, clients and threads of an entry host: Vert.x for HTTP, Netty between daemons. */
 package org.fawndrum.transport;
--- a/org.fawndrum/src/org/fawndrum/transport/peer/NettyPeerNetwork.java
+++ b/org.fawndrum/src/org/fawndrum/transport/peer/NettyPeerNetwork.java
@@ -27,11 +27,14 @@
 import org.fawndrum.settings.ListenSettings;
 import org.fawndrum.state.HostAddress;
 
-/** The peer network over TCP with one thread. Connections are opened when first used. */
+/**
+ * Peer network over TCP with one event loop thread. A connection is opened when it is first used.
+ * Safe for all threads.
+ */
 public final class NettyPeerNetwork implements PeerNetwork, AutoCloseable {
-  private static final int CONNECT_MS = 1_000;
-  private static final long REPLY_MS = 1_000;
-  private static final int LOWEST_PORT = 0;
+  private static final int CONNECT_TIMEOUT_MS = 1_000;
+  private static final long REPLY_TIMEOUT_MS = 1_000;
+  private static final int MIN_PORT = 0;
 
   private final EventLoopGroup loop =
       new MultiThreadIoEventLoopGroup(
@@ -41,13 +44,14 @@
   private final PeerTls tls;
   private final HostLog log;
   private final Map<HostAddress, CompletableFuture<Channel>> channels = new ConcurrentHashMap<>();
-  private final Map<Long, CompletableFuture<PeerMessage>> asked = new ConcurrentHashMap<>();
-  private final AtomicLong exchanges = new AtomicLong();
+  private final Map<Long, CompletableFuture<PeerMessage>> pendingReplies =
+      new ConcurrentHashMap<>();
+  private final AtomicLong lastExchange = new AtomicLong();
   private final AtomicLong dropped = new AtomicLong();
   private final AtomicLong bytesSent = new AtomicLong();
   private Channel server;
 
-  /** Makes a network that does not listen yet. */
+  /** Creates a network; it accepts connections after {@link #listen}. */
   public NettyPeerNetwork(ListenSettings listen, Receiver receiver, HostLog log) {
     this.listen = listen;
     this.receiver = receiver;
@@ -55,7 +59,7 @@
     this.log = log;
   }
 
-  /** Begins to listen; the future fails when the address cannot be had. */
+  /** Starts to listen; the future fails when the address cannot be bound. */
   public CompletableFuture<Void> listen() {
     PeerPipeline pipeline = new PeerPipeline(this::received, dropped, log);
     ServerBootstrap bootstrap =
@@ -74,7 +78,7 @@
                 });
     CompletableFuture<Void> listening = new CompletableFuture<>();
     bootstrap
-        .bind(listen.address().ip(), Math.max(LOWEST_PORT, listen.address().port()))
+        .bind(listen.address().ip(), Math.max(MIN_PORT, listen.address().port()))
         .addListener(
             (ChannelFuture bound) -> {
               if (bound.isSuccess()) {
@@ -87,17 +91,17 @@
     return listening;
   }
 
-  /** Returns the port it listens on. */
+  /** Returns the bound port. */
   public int port() {
     return ((InetSocketAddress) server.localAddress()).getPort();
   }
 
-  /** Returns how many messages were dropped because they did not decode. */
+  /** Returns the number of received messages that were dropped because they were malformed. */
   public long dropped() {
     return dropped.get();
   }
 
-  /** Returns how many bytes of messages were sent. */
+  /** Returns the total size of the messages sent, in bytes. */
   public long bytesSent() {
     return bytesSent.get();
   }
@@ -109,9 +113,9 @@
           default -> false;
         };
     if (isReply) {
-      CompletableFuture<PeerMessage> waiting = asked.remove(message.getExchange());
-      if (waiting != null) {
-        waiting.complete(message);
+      CompletableFuture<PeerMessage> pending = pendingReplies.remove(message.getExchange());
+      if (pending != null) {
+        pending.complete(message);
       }
       return;
     }
@@ -125,7 +129,8 @@
     channel(to)
         .whenComplete(
             (channel, failure) -> {
-              // A peer that reads too slowly misses heartbeats; it will ask for what it lacks.
+              // Drops the message for a peer that reads too slowly; it requests missing state
+              // later.
               if (channel != null && channel.isWritable()) {
                 write(channel, message);
               }
@@ -134,22 +139,22 @@
 
   @Override
   public CompletableFuture<PeerMessage> ask(HostAddress to, PeerMessage.Builder message) {
-    long exchange = exchanges.incrementAndGet();
+    long exchange = lastExchange.incrementAndGet();
     CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
-    asked.put(exchange, reply);
-    PeerMessage asking = message.setExchange(exchange).build();
+    pendingReplies.put(exchange, reply);
+    PeerMessage request = message.setExchange(exchange).build();
     channel(to)
         .whenComplete(
             (channel, failure) -> {
               if (channel == null) {
                 reply.completeExceptionally(failure);
               } else {
-                write(channel, asking);
+                write(channel, request);
               }
             });
     return reply
-        .orTimeout(REPLY_MS, TimeUnit.MILLISECONDS)
-        .whenComplete((answer, failure) -> asked.remove(exchange))
+        .orTimeout(REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+        .whenComplete((answer, failure) -> pendingReplies.remove(exchange))
         .exceptionallyCompose(
             failure -> CompletableFuture.failedFuture(new PeerUnreachableException(to, failure)));
   }
@@ -178,7 +183,7 @@
     new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
         .option(ChannelOption.TCP_NODELAY, true)
         .handler(
             new ChannelInitializer<Channel>() {
--- a/org.fawndrum/src/org/fawndrum/transport/peer/PeerNetwork.java
+++ b/org.fawndrum/src/org/fawndrum/transport/peer/PeerNetwork.java
@@ -6,23 +6,23 @@
 import org.fawndrum.protocol.wire.PeerMessage;
 import org.fawndrum.state.HostAddress;
 
-/** Messages to and from other daemons. Safe for all threads. */
+/** Sends messages to other daemons. Safe for all threads. */
 public interface PeerNetwork {
-  /** Sends a message that wants no reply; it may be lost. */
+  /** Sends a one-way message, which may be lost. */
   void tell(HostAddress to, PeerMessage message);
 
   /**
-   * Sends a message and gives its reply. Fails with {@code PeerUnreachableException} when none
-   * comes in time.
+   * Sends a request and returns its reply. The future fails with {@code PeerUnreachableException}
+   * when the peer does not reply in time.
    */
   CompletableFuture<PeerMessage> ask(HostAddress to, PeerMessage.Builder message);
 
-  /** Ends the connection to a peer, if there is one; the next message opens another. */
+  /** Closes the connection to a peer, if there is one; the next message opens a new one. */
   void drop(HostAddress peer);
 
-  /** Takes messages that others send on their own account. */
+  /** Receives messages of other daemons that are not replies. */
   interface Receiver {
-    /** Takes one message; {@code reply} sends the answer to one that wants a reply. */
+    /** Handles one message; {@code reply} sends the reply if the message is a request. */
     void received(PeerMessage message, Consumer<PeerMessage.Builder> reply);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/peer/PeerPipeline.java
+++ b/org.fawndrum/src/org/fawndrum/transport/peer/PeerPipeline.java
@@ -19,9 +19,9 @@
 import org.fawndrum.protocol.wire.PeerMessage;
 
 /**
- * Sets up a connection between daemons: each message has its length in four bytes before it. A
- * message that does not decode is counted and dropped; one that lies about its length ends the
- * connection, because what follows cannot be told apart any more.
+ * Installs the handlers of a connection between daemons. Each message is preceded by its length in
+ * four bytes. A message that cannot be decoded is counted and dropped; an invalid length also
+ * closes the connection, because the following messages can no longer be delimited.
  */
 final class PeerPipeline {
   private static final int LENGTH_BYTES = 4;
@@ -42,11 +42,11 @@
         .addLast(
             new LengthFieldBasedFrameDecoder(PeerCodec.LARGEST, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
         .addLast(new LengthFieldPrepender(LENGTH_BYTES))
-        .addLast(new Reader());
+        .addLast(new MessageHandler());
   }
 
-  /** Reads framed messages. */
-  private final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
+  /** Decodes framed messages. */
+  private final class MessageHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
       try {
--- a/org.fawndrum/src/org/fawndrum/transport/peer/PeerTls.java
+++ b/org.fawndrum/src/org/fawndrum/transport/peer/PeerTls.java
@@ -12,8 +12,8 @@
 import org.fawndrum.settings.TlsSettings;
 
 /**
- * Encryption between daemons. Both sides show certificates of the same trusted authority; names in
- * certificates are not compared, because peers are reached by IP number and replaced at any time.
+ * Mutual TLS between daemons. Both sides present certificates of the same trusted authority. Host
+ * names are not verified, because peers are addressed by IP and may be replaced at any time.
  */
 record PeerTls(Optional<SslContext> server, Optional<SslContext> client) {
   static PeerTls of(Optional<TlsSettings> settings) {
--- a/org.fawndrum/src/org/fawndrum/transport/peer/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/transport/peer/package-info.java
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: Apache-2.0
-/** Netty between daemons: framed protobuf messages over TCP, encrypted where settings say so. */
+/** Framed protobuf messages between daemons over TCP with Netty, with TLS if configured. */
 package org.fawndrum.transport.peer;
--- a/org.fawndrum/tst/org/fawndrum/transport/SuspendAwareClockTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/SuspendAwareClockTest.java
@@ -9,7 +9,7 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
-/** What a host's clock makes of the machine's clocks. */
+/** Which changes of the clocks of the machine a host's clock counts as a suspension. */
 class SuspendAwareClockTest {
   private static final long MIDNIGHT_MS = 1_764_720_000_000L;
   private static final long NANOS = 1_000_000;
@@ -18,7 +18,7 @@
   private long steadyMs = 50_000;
   private long wallMs = MIDNIGHT_MS;
   private long bootMs = 90_000;
-  private boolean tellsBoot = true;
+  private boolean bootTimeAvailable = true;
 
   private final ClockSources sources =
       new ClockSources() {
@@ -34,14 +34,14 @@
 
         @Override
         public OptionalLong bootMs() {
-          return tellsBoot ? OptionalLong.of(bootMs) : OptionalLong.empty();
+          return bootTimeAvailable ? OptionalLong.of(bootMs) : OptionalLong.empty();
         }
       };
 
   private final HostClock clock = new SuspendAwareClock(sources, suspensions::add);
 
-  /** Time passes on all clocks. */
-  private void pass(long ms) {
+  /** Advances all clocks. */
+  private void advance(long ms) {
     steadyMs += ms;
     suspend(ms);
   }
@@ -51,75 +51,75 @@
     bootMs += ms;
   }
 
-  private void shows(long sinceMidnightMs) {
+  private void assertClock(long sinceMidnightMs) {
     assertEquals(MIDNIGHT_MS + sinceMidnightMs, clock.nowMs());
   }
 
   @Test
-  void timePasses() {
+  void clockFollowsElapsedTime() {
     for (int i = 1; i <= 100; i++) {
-      pass(40);
-      shows(40L * i);
+      advance(40);
+      assertClock(40L * i);
     }
     assertTrue(suspensions.isEmpty());
   }
 
   @Test
-  void aSuspensionCounts() {
-    pass(1_500);
+  void suspensionIsCounted() {
+    advance(1_500);
     suspend(4_000);
-    shows(5_500);
-    pass(10);
-    shows(5_510);
+    assertClock(5_500);
+    advance(10);
+    assertClock(5_510);
     suspend(700);
-    shows(6_210);
+    assertClock(6_210);
     assertEquals(List.of(4_000L, 700L), suspensions);
   }
 
   @Test
-  void aJumpOfTheTimeOfDayDoesNot() {
-    pass(100);
+  void wallClockJumpIsNotCounted() {
+    advance(100);
     wallMs += 7_000;
-    shows(100);
-    pass(50);
+    assertClock(100);
+    advance(50);
     wallMs -= 12_000;
-    shows(150);
+    assertClock(150);
     wallMs += 5_000;
-    shows(150);
+    assertClock(150);
     suspend(3_000);
-    shows(3_150);
+    assertClock(3_150);
     assertEquals(List.of(3_000L), suspensions);
   }
 
   @Test
-  void neitherDoesTheTimeSinceTheStartAtAnotherPace() {
+  void bootTimeAtAnotherRateIsNotCounted() {
     for (int i = 1; i <= 200; i++) {
-      pass(50);
+      advance(50);
       bootMs += 40;
-      shows(50L * i);
+      assertClock(50L * i);
     }
     assertTrue(suspensions.isEmpty());
   }
 
   @Test
-  void aMachineThatDoesNotTellItIsNeverSuspended() {
-    tellsBoot = false;
-    pass(100);
+  void noSuspensionIsDetectedWithoutBootTime() {
+    bootTimeAvailable = false;
+    advance(100);
     suspend(4_000);
-    shows(100);
+    assertClock(100);
     assertTrue(suspensions.isEmpty());
   }
 
   @Test
-  void theTimeOfDaySetBackAtTheWakeHidesNoLongSuspension() {
-    pass(100);
+  void wallClockSetBackAtResumeDoesNotHideLongSuspension() {
+    advance(100);
     suspend(10_000);
     wallMs -= 3_000;
-    shows(10_100);
+    assertClock(10_100);
   }
 
   @Test
-  void theClocksOfThisMachineAgree() {
+  void systemClockNeverRunsBackwards() {
     HostClock real = new SuspendAwareClock(ClockSources.system(), suspensions::add);
     long before = real.nowMs();
     assertTrue(real.nowMs() >= before);
--- a/org.fawndrum/tst/org/fawndrum/transport/peer/NettyPeerNetworkTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/peer/NettyPeerNetworkTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Messages between daemons over real sockets, and bytes that are no messages. */
+/** Requests and replies between daemons over real sockets, and malformed input. */
 class NettyPeerNetworkTest {
   private static final HostIdentity ONE = new HostIdentity("one", 1);
   private static final HostIdentity TWO = new HostIdentity("two", 1);
-  private static final ListenSettings ANYWHERE =
+  private static final ListenSettings ANY_PORT =
       new ListenSettings(new HostAddress("127.0.0.1", 0), Optional.empty());
 
   private final NettyPeerNetwork one = network((message, reply) -> {});
@@ -38,7 +38,7 @@
 
   private static NettyPeerNetwork network(PeerNetwork.Receiver receiver) {
     NettyPeerNetwork network =
-        new NettyPeerNetwork(ANYWHERE, receiver, new HostLog("org.fawndrum.test"));
+        new NettyPeerNetwork(ANY_PORT, receiver, new HostLog("org.fawndrum.test"));
     network.listen().join();
     return network;
   }
@@ -49,28 +49,28 @@
     two.close();
   }
 
-  private static PeerMessage.Builder question() {
+  private static PeerMessage.Builder claimRequest() {
     return PeerCodec.from(ONE).setClaimRequest(ClaimRequest.newBuilder().setKey("w/c|k"));
   }
 
   @Test
-  void replyComesBackToItsQuestion() {
+  void replyIsMatchedToItsRequest() {
     HostAddress address = new HostAddress("127.0.0.1", two.port());
-    PeerMessage reply = one.ask(address, question()).join();
+    PeerMessage reply = one.ask(address, claimRequest()).join();
     assertEquals(ClaimReply.Answer.RAN, reply.getClaimReply().getAnswer());
     assertEquals(TWO, PeerCodec.sender(reply));
   }
 
   @Test
-  void nobodyThereIsATypedFailure() {
-    HostAddress nowhere = new HostAddress("127.0.0.1", 1);
+  void unreachablePeerFailsWithTypedException() {
+    HostAddress closedPort = new HostAddress("127.0.0.1", 1);
     CompletionException failure =
-        assertThrows(CompletionException.class, () -> one.ask(nowhere, question()).join());
+        assertThrows(CompletionException.class, () -> one.ask(closedPort, claimRequest()).join());
     assertInstanceOf(PeerUnreachableException.class, failure.getCause());
   }
 
   @Test
-  void messagesThatLieOrDoNotDecodeAreCountedAndDropped() throws IOException {
+  void messagesWithInvalidContentOrLengthAreCountedAndDropped() throws IOException {
     try (Socket socket = new Socket("127.0.0.1", two.port())) {
       socket.getOutputStream().write(new byte[] {0, 0, 0, 3, -1, -1, -1});
       socket.getOutputStream().write(new byte[] {0x7f, -1, -1, -1, 1, 2, 3});
@@ -79,6 +79,6 @@
     }
     assertEquals(2, two.dropped());
     HostAddress address = new HostAddress("127.0.0.1", two.port());
-    assertEquals(TWO, PeerCodec.sender(one.ask(address, question()).join()));
+    assertEquals(TWO, PeerCodec.sender(one.ask(address, claimRequest()).join()));
   }
 }
