--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/DaemonMain.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/DaemonMain.java
@@ -9,16 +9,16 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** Starts the daemon of an entry host: {@code fawndrumd SETTINGS}. */
+/** Command line entry point of the daemon of an entry host: {@code fawndrumd SETTINGS}. */
 public final class DaemonMain {
-  private static final int USAGE = 2;
+  private static final int EXIT_USAGE = 2;
 
   @Argument(index = 0, required = true, metaVar = "SETTINGS", usage = "the settings file")
   private String file;
 
   private DaemonMain() {}
 
-  /** Runs the daemon. Exit codes: 0 stopped, 1 failed, 2 wrong settings or usage. */
+  /** Runs the daemon. Exit codes: 0 stopped, 1 failed, 2 invalid settings or usage. */
   public static void main(String[] args) {
     LogSetup.chooseBackEnd();
     DaemonMain main = new DaemonMain();
@@ -31,11 +31,11 @@
     } catch (CmdLineException e) {
       System.err.println(e.getMessage());
       parser.printUsage(System.err);
-      System.exit(USAGE);
+      System.exit(EXIT_USAGE);
     } catch (BadSettingsException e) {
       System.err.println("settings " + main.file + ":");
       e.faults().forEach(fault -> System.err.println("  " + fault));
-      System.exit(USAGE);
+      System.exit(EXIT_USAGE);
     }
   }
 }
--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/JsonLineFormatter.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/JsonLineFormatter.java
@@ -6,11 +6,11 @@
 import org.jboss.logmanager.ExtFormatter;
 import org.jboss.logmanager.ExtLogRecord;
 
-/** Formats each message as one line of JSON. */
+/** Formats each log record as one line of JSON. */
 final class JsonLineFormatter extends ExtFormatter {
   private static final int ID_LENGTH = 8;
 
-  /** One line. */
+  /** The JSON members of a line. */
   private record Line(
       String at,
       String level,
@@ -23,7 +23,7 @@
   @Override
   public String format(ExtLogRecord record) {
     LogDetails details = details(record);
-    // Named values stand for themselves; their text would only say the same again.
+    // The message of named values is not formatted: it would repeat the details.
     String text = details == null ? formatMessage(record) : record.getMessage();
     boolean hasId = text.startsWith("FAWN") && text.length() > ID_LENGTH;
     Line line =
@@ -44,7 +44,7 @@
 
   private static LogDetails details(ExtLogRecord record) {
     Object[] parameters = record.getParameters();
-    boolean first = parameters != null && parameters.length > 0;
-    return first && parameters[0] instanceof LogDetails details ? details : null;
+    boolean hasParameters = parameters != null && parameters.length > 0;
+    return hasParameters && parameters[0] instanceof LogDetails details ? details : null;
   }
 }
--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/LogSetup.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/LogSetup.java
@@ -10,16 +10,16 @@
 import org.jboss.logmanager.handlers.AsyncHandler;
 import org.jboss.logmanager.handlers.ConsoleHandler;
 
-/** Sets up the log on standard error: one line a message, for people or as JSON. */
+/** Configures logging to standard error or standard output, one line per message. */
 public final class LogSetup {
-  /** Lines that wait for the writer at most. */
-  private static final int QUEUE_LINES = 4_096;
+  /** Maximum number of lines queued for the writer thread. */
+  private static final int MAX_QUEUED_LINES = 4_096;
 
-  private static final String TEXT = "%d{yyyy-MM-dd HH:mm:ss.SSS} %-5p %X{request} %s%e%n";
+  private static final String TEXT_PATTERN = "%d{yyyy-MM-dd HH:mm:ss.SSS} %-5p %X{request} %s%e%n";
 
   private LogSetup() {}
 
-  /** Must run before anything else touches the log. */
+  /** Selects the log manager. Must be called before any logger is created. */
   public static void chooseBackEnd() {
     System.setProperty("java.util.logging.manager", "org.jboss.logmanager.LogManager");
     System.setProperty("org.jboss.logging.provider", "jboss");
@@ -28,19 +28,20 @@
   }
 
   /**
-   * Chooses the form of the log.
+   * Configures logging to standard error.
    *
-   * @param json whether each message is a line of JSON
+   * @param json whether each message is written as a line of JSON instead of text
    * @param debug whether each decision is logged
    */
   public static void configure(boolean json, boolean debug) {
-    Formatter formatter = json ? new JsonLineFormatter() : new PatternFormatter(TEXT);
+    Formatter formatter = json ? new JsonLineFormatter() : new PatternFormatter(TEXT_PATTERN);
     configure(new ConsoleHandler(ConsoleHandler.Target.SYSTEM_ERR, formatter), debug);
   }
 
   /**
-   * Writes the log as lines of JSON to standard output, from a thread of its own with a bounded
-   * queue: what finds no room there is dropped, so that nobody waits for a slow reader.
+   * Configures logging as lines of JSON to standard output. A separate thread with a bounded queue
+   * writes the lines; lines that exceed the queue are dropped, so that a slow reader blocks no
+   * thread.
    *
    * @param debug whether each decision is logged in full
    */
@@ -48,7 +49,7 @@
     ConsoleHandler output =
         new ConsoleHandler(ConsoleHandler.Target.SYSTEM_OUT, new JsonLineFormatter());
     output.setLevel(Level.ALL);
-    AsyncHandler queue = new AsyncHandler(QUEUE_LINES);
+    AsyncHandler queue = new AsyncHandler(MAX_QUEUED_LINES);
     queue.setOverflowAction(AsyncHandler.OverflowAction.DISCARD);
     queue.addHandler(output);
     configure(queue, debug);
--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/RunDaemon.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/RunDaemon.java
@@ -13,10 +13,10 @@
 import org.fawndrum.transport.EntryHostRuntime;
 import org.fawndrum.transport.HostClock;
 
-/** Runs one entry host under the Vert.x launcher until a signal ends it. */
+/** Runs an entry host with the Vert.x launcher until a signal stops it. */
 final class RunDaemon {
-  private static final int FAILED = 1;
-  private static final int USAGE = 2;
+  private static final int EXIT_FAILED = 1;
+  private static final int EXIT_USAGE = 2;
 
   private final HostSettings settings;
   private final String file;
@@ -30,11 +30,11 @@
     new VertxApplication(new String[0], new Hooks()).launch();
   }
 
-  /** Tells the launcher what to run and what to do when it cannot. */
+  /** Hooks of the launcher: supplies the host and handles a failure to start it. */
   private final class Hooks implements VertxApplicationHooks {
     @Override
     public Supplier<? extends Deployable> verticleSupplier() {
-      return Host::new;
+      return HostVerticle::new;
     }
 
     @Override
@@ -42,15 +42,15 @@
       if (cause instanceof java.net.BindException) {
         System.err.println("settings " + file + ":");
         System.err.println("  " + cause.getMessage() + ": give it a free address of this host");
-        System.exit(USAGE);
+        System.exit(EXIT_USAGE);
       }
       System.err.println(cause);
-      System.exit(FAILED);
+      System.exit(EXIT_FAILED);
     }
   }
 
-  /** The host as a unit that the launcher deploys. */
-  private final class Host extends VerticleBase {
+  /** The host as a verticle that the launcher deploys. */
+  private final class HostVerticle extends VerticleBase {
     @Override
     public Future<?> start() {
       EntryHostRuntime host =
--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/Signals.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/Signals.java
@@ -5,14 +5,14 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles operating system signals through the JDK's only interface for them. That interface is
- * reached by reflection because the compiler warns of it in a way that cannot be silenced, and
- * warnings fail the build.
+ * Installs handlers for operating system signals through {@code sun.misc.Signal}, the only JDK API
+ * for them. It is called by reflection because the compiler emits a warning for it that cannot be
+ * suppressed, and warnings fail the build.
  */
 public final class Signals {
   private Signals() {}
 
-  /** Runs a step whenever a signal such as {@code TERM} comes. */
+  /** Runs {@code step} each time a signal such as {@code TERM} is received. */
   public static void handle(String signal, Runnable step) {
     try {
       Class<?> signalType = Class.forName("sun.misc.Signal");
@@ -28,7 +28,7 @@
       Object named = signalType.getConstructor(String.class).newInstance(signal);
       signalType.getMethod("handle", signalType, handlerType).invoke(null, named, handler);
     } catch (ReflectiveOperationException e) {
-      // Without the interface the JVM's own behaviour stays: a signal ends the process at once.
+      // Without this API the default handling stays: a signal terminates the process at once.
       new org.fawndrum.internal.log.HostLog("org.fawndrum.host")
           .failure(org.fawndrum.internal.log.LogEvent.DUTY_FAILED, e, "signals");
     }
--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/StopSignals.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/StopSignals.java
@@ -7,11 +7,11 @@
 import org.fawndrum.transport.EntryHostRuntime;
 
 /**
- * What signals do: the first TERM or INT begins a planned stop, which cuts no request however long
- * that takes; a second one ends the process at once.
+ * Handles the signals TERM and INT. The first one starts a planned shutdown, which waits for all
+ * requests without a time limit; a second one terminates the process at once.
  */
 final class StopSignals {
-  private static final int CUT = 1;
+  private static final int EXIT_ABORTED = 1;
 
   private StopSignals() {}
 
@@ -24,7 +24,7 @@
     if (host.draining()) {
       int open = host.status().requestsOpen();
       new HostLog("org.fawndrum.host").event(LogEvent.SECOND_SIGNAL, Integer.toString(open));
-      Runtime.getRuntime().halt(CUT);
+      Runtime.getRuntime().halt(EXIT_ABORTED);
       return;
     }
     host.drain()
--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/internal/package-info.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/internal/package-info.java
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: Apache-2.0
-/** What the daemon's libraries look for by themselves; not for other modules. */
+/** Service providers that libraries of the daemon load; not for use by other modules. */
 package org.fawndrum.daemon.internal;
--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/package-info.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/package-info.java
@@ -1,3 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-/** fawndrumd, the daemon of an entry host: the library's runtime with settings and signals. */
+/**
+ * Daemon {@code fawndrumd} of an entry host: runs the library with settings and signal handling.
+ */
 package org.fawndrum.daemon;
--- a/org.fawndrum.daemon/tst/org/fawndrum/daemon/BadInputTest.java
+++ b/org.fawndrum.daemon/tst/org/fawndrum/daemon/BadInputTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Bad input gets a status and an error in the form that client libraries parse. */
+/** Invalid input is answered with a status and an error body that client libraries can parse. */
 class BadInputTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final String CHAT = "/v1/chat/completions";
@@ -38,14 +38,14 @@
     site.close();
   }
 
-  private void refused(int status, String code, String key, String path, String body)
+  private void assertRefused(int status, String code, String key, String path, String body)
       throws IOException {
     HttpResponse<String> response = site.post(host.callerPort(), path, key, body);
     assertEquals(status, response.statusCode(), response.body());
-    error(code, response.body());
+    assertError(code, response.body());
   }
 
-  private static void error(String code, String body) throws IOException {
+  private static void assertError(String code, String body) throws IOException {
     JsonNode error = MAPPER.readTree(body).get("error");
     assertEquals(code, error.get("code").asText());
     assertEquals("no", error.get("ran").asText());
@@ -62,15 +62,16 @@
   }
 
   @Test
-  void bodiesThatAreNoRequest() throws IOException {
-    refused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "no json");
-    refused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "");
-    refused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "null");
-    refused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, chat("null", "x"));
-    refused(
+  void bodiesThatAreNotChatRequests() throws IOException {
+    assertRefused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "no json");
+    assertRefused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "");
+    assertRefused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "null");
+    assertRefused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, chat("null", "x"));
+    assertRefused(
         400, "invalid_request", TestSite.CHAT_KEY, CHAT, "{\"model\":\"m\",\"messages\":[null]}");
-    refused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "{\"model\":\"m\",\"messages\":[]}");
-    refused(
+    assertRefused(
+        400, "invalid_request", TestSite.CHAT_KEY, CHAT, "{\"model\":\"m\",\"messages\":[]}");
+    assertRefused(
         400,
         "invalid_request",
         TestSite.CHAT_KEY,
@@ -80,35 +81,37 @@
 
   @Test
   void sizesAboveTheLimits() throws IOException {
-    refused(400, "prompt_too_long", TestSite.CHAT_KEY, CHAT, chat("\"m\"", "x".repeat(700_000)));
-    refused(413, "body_too_large", TestSite.CHAT_KEY, CHAT, "x".repeat(2_000_000));
+    assertRefused(
+        400, "prompt_too_long", TestSite.CHAT_KEY, CHAT, chat("\"m\"", "x".repeat(700_000)));
+    assertRefused(413, "body_too_large", TestSite.CHAT_KEY, CHAT, "x".repeat(2_000_000));
   }
 
   @Test
-  void callersAndTargetsThatAreNotKnown() throws IOException {
-    refused(401, "unknown_key", "no such key", CHAT, chat("\"m\"", "x"));
-    refused(404, "no_route", TestSite.CHAT_KEY, "/orders/1", "{}");
-    refused(503, "no_endpoint", TestSite.CHAT_KEY, CHAT, chat("\"other\"", "x"));
+  void unknownCallersAndTargets() throws IOException {
+    assertRefused(401, "unknown_key", "no such key", CHAT, chat("\"m\"", "x"));
+    assertRefused(404, "no_route", TestSite.CHAT_KEY, "/orders/1", "{}");
+    assertRefused(503, "no_endpoint", TestSite.CHAT_KEY, CHAT, chat("\"other\"", "x"));
   }
 
   @Test
-  void headerBombAndHalfARequest() throws IOException {
-    error("headers_too_large", raw("GET / HTTP/1.1\r\nx: " + "y".repeat(20_000) + "\r\n\r\n"));
-    String half =
+  void oversizedHeadersAndIncompleteRequests() throws IOException {
+    assertError(
+        "headers_too_large", raw("GET / HTTP/1.1\r\nx: " + "y".repeat(20_000) + "\r\n\r\n"));
+    String incomplete =
         "POST "
             + CHAT
             + " HTTP/1.1\r\nauthorization: Bearer "
             + TestSite.CHAT_KEY
             + "\r\ncontent-length: 100\r\n\r\n{\"model\"";
-    error("request_incomplete", raw(half));
+    assertError("request_incomplete", raw(incomplete));
     assertEquals("", raw("POST " + CHAT + " HTTP/1.1\r\nx: half a header"));
-    error("invalid_request", raw("this is no HTTP\r\n\r\n"));
+    assertError("invalid_request", raw("this is no HTTP\r\n\r\n"));
   }
 
-  /** Sends bytes and returns the body of what comes back until the connection is closed. */
+  /** Sends bytes and returns the body of the response, read until the connection is closed. */
   private String raw(String text) throws IOException {
     try (Socket socket = new Socket(TestSite.IP, host.callerPort())) {
-      // Only keeps a connection that is never closed from holding up the whole run.
+      // Bounds the test run in case the connection is never closed.
       socket.setSoTimeout(20_000);
       socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
       socket.getOutputStream().flush();
@@ -120,7 +123,7 @@
   }
 
   @Test
-  void operatorsNeedAKeyAndTheRight() {
+  void operatorsNeedKeyAndPermission() {
     int port = host.operatorPort();
     assertEquals(401, site.get(port, "/status", "wrong").statusCode());
     assertEquals(401, site.get(port, "/status", TestSite.CHAT_KEY).statusCode());
--- a/org.fawndrum.daemon/tst/org/fawndrum/daemon/OwnLogSetupTest.java
+++ b/org.fawndrum.daemon/tst/org/fawndrum/daemon/EmptyLogConfiguratorFactoryTest.java
@@ -6,21 +6,21 @@
 
 import java.util.Comparator;
 import java.util.ServiceLoader;
-import org.fawndrum.daemon.internal.OwnLogSetup;
+import org.fawndrum.daemon.internal.EmptyLogConfiguratorFactory;
 import org.jboss.logmanager.ConfiguratorFactory;
 import org.jboss.logmanager.LogContextConfigurator;
 import org.junit.jupiter.api.Test;
 
-/** The log manager finds that there is nothing for it to configure. */
-class OwnLogSetupTest {
+/** The service loader provides the empty configurator before the default one. */
+class EmptyLogConfiguratorFactoryTest {
   @Test
-  void theLogManagerTakesItBeforeItsOwn() {
+  void emptyConfiguratorHasLowestPriorityValue() {
     ConfiguratorFactory first =
         ServiceLoader.load(ConfiguratorFactory.class).stream()
             .map(ServiceLoader.Provider::get)
             .min(Comparator.comparingInt(ConfiguratorFactory::priority))
             .orElseThrow();
-    assertInstanceOf(OwnLogSetup.class, first);
+    assertInstanceOf(EmptyLogConfiguratorFactory.class, first);
     assertSame(LogContextConfigurator.EMPTY, first.create());
   }
 }
--- a/org.fawndrum.daemon/tst/org/fawndrum/daemon/TestSite.java
+++ b/org.fawndrum.daemon/tst/org/fawndrum/daemon/TestSite.java
@@ -39,7 +39,7 @@
 import org.fawndrum.transport.HostClock;
 import org.fawndrum.transport.HttpPlatform;
 
-/** A platform, endpoints and daemons on loopback in one process, for tests. */
+/** Test fixture: a platform, endpoints and daemons on the loopback interface in one process. */
 final class TestSite implements AutoCloseable {
   static final String IP = "127.0.0.1";
   static final String CHAT_KEY = "key-of-chat";
@@ -50,8 +50,8 @@
   static final CallerGroup CHAT = new CallerGroup("counter", "chat");
   static final CallerGroup ORDERS = new CallerGroup("schools", "orders");
   static final CallerGroup LOOKUPS = new CallerGroup("shops", "lookups");
-  private static final int LOOKS = 1_500;
-  private static final long LOOK_MS = 20;
+  private static final int MAX_POLLS = 1_500;
+  private static final long POLL_MS = 20;
 
   final Vertx vertx = Vertx.vertx();
   final HttpClient client = HttpClient.newHttpClient();
@@ -69,33 +69,36 @@
     return future.toCompletionStage().toCompletableFuture().orTimeout(60, TimeUnit.SECONDS).join();
   }
 
-  /** Looks again and again until something is true; how long that takes decides nothing. */
-  static void until(String what, BooleanSupplier isTrue) {
-    for (int look = 0; look < LOOKS; look++) {
-      if (isTrue.getAsBoolean()) {
+  /**
+   * Polls until a condition is true. Fails after 30 seconds, a bound that is not part of any
+   * assertion.
+   */
+  static void until(String description, BooleanSupplier condition) {
+    for (int poll = 0; poll < MAX_POLLS; poll++) {
+      if (condition.getAsBoolean()) {
         return;
       }
-      java.util.concurrent.locks.LockSupport.parkNanos(LOOK_MS * 1_000_000);
+      java.util.concurrent.locks.LockSupport.parkNanos(POLL_MS * 1_000_000);
     }
-    throw new AssertionError("never: " + what);
+    throw new AssertionError("never: " + description);
   }
 
   int engine(String name, String zone) {
     EngineStandin engine =
         new EngineStandin(vertx, IP, 0, name, 1, new EngineModel.Settings(200_000, 1_024, 2), 20);
     await(engine.listen());
-    list(name, zone, "model", engine.port(), List.of("m"), 200_000);
+    register(name, zone, "model", engine.port(), List.of("m"), 200_000);
     return engine.port();
   }
 
   int plain(String name, String zone) {
     PlainStandin plain = new PlainStandin(vertx, IP, 0, name);
     await(plain.listen());
-    list(name, zone, "plain", plain.port(), List.of("ordering"), 0);
+    register(name, zone, "plain", plain.port(), List.of("ordering"), 0);
     return plain.port();
   }
 
-  private void list(
+  private void register(
       String name, String zone, String role, int port, List<String> serves, long memory) {
     post(
         platform.port(),
@@ -106,14 +109,14 @@
 
   EntryHostRuntime host(String name, String zone) {
     LimitSettings limits = new LimitSettings(1 << 20, 8_192, 150_000, 500, 3_000, 1_024);
-    ListenSettings anywhere = new ListenSettings(new HostAddress(IP, 0), Optional.empty());
+    ListenSettings anyPort = new ListenSettings(new HostAddress(IP, 0), Optional.empty());
     HostSettings settings =
         new HostSettings(
             name,
             zone,
-            anywhere,
-            anywhere,
-            anywhere,
+            anyPort,
+            anyPort,
+            anyPort,
             new HostAddress(IP, platform.port()),
             peerAddresses,
             List.of(
@@ -140,15 +143,15 @@
     return host;
   }
 
-  /** Starts two daemons in two zones with two engines, a plain service and a table. */
-  void usual() {
+  /** Starts two daemons and two engines in two zones, and publishes a table. */
+  void startStandardSite() {
     engine("engine-1", "a");
     engine("engine-2", "b");
-    EntryHostRuntime one = host("host-a", "a");
-    EntryHostRuntime two = host("host-b", "b");
-    publishTable(one);
-    ready(one);
-    ready(two);
+    EntryHostRuntime first = host("host-a", "a");
+    EntryHostRuntime second = host("host-b", "b");
+    publishTable(first);
+    ready(first);
+    ready(second);
   }
 
   void publishTable(EntryHostRuntime host) {
@@ -207,14 +210,14 @@
     return post(host.callerPort(), "/v1/chat/completions", CHAT_KEY, body);
   }
 
-  HttpResponse<String> order(EntryHostRuntime host, String key, Integer sentBefore) {
+  HttpResponse<String> order(EntryHostRuntime host, String key, Integer retryCount) {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://" + IP + ":" + host.callerPort() + "/orders/1"))
             .header("authorization", "Bearer " + ORDER_KEY)
             .header("idempotency-key", key)
             .POST(BodyPublishers.ofString("{}"));
-    if (sentBefore != null) {
-      request.header("x-stainless-retry-count", sentBefore.toString());
+    if (retryCount != null) {
+      request.header("x-stainless-retry-count", retryCount.toString());
     }
     return send(request);
   }
@@ -233,7 +236,7 @@
   long newestSnapshot() {
     HttpPlatform log = new HttpPlatform(vertx, new HostAddress(IP, platform.port()), 0);
     return log.read(0, 10_000).join().records().stream()
-        .filter(one -> LogCodec.read(one.offset(), one.content()).hasSnapshot())
+        .filter(entry -> LogCodec.read(entry.offset(), entry.content()).hasSnapshot())
         .mapToLong(PlatformLog.LogRecord::offset)
         .max()
         .orElse(-1);
--- a/org.fawndrum.daemon/tst/org/fawndrum/daemon/WholePathTest.java
+++ b/org.fawndrum.daemon/tst/org/fawndrum/daemon/WholePathTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests through real daemons over loopback, with the faults that cross a process. */
+/** End-to-end tests of daemons over loopback, with faults of endpoints, platform and hosts. */
 class WholePathTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int OK = 200;
@@ -47,15 +47,15 @@
   }
 
   @Test
-  void wholeAnswerComesBack() throws IOException {
-    site.usual();
+  void completeAnswerIsReturned() throws IOException {
+    site.startStandardSite();
     HttpResponse<String> response = site.chat(site.hosts.get(0), "hello there", 20);
     assertEquals(OK, response.statusCode());
     assertEquals(AnswerText.whole("hello there", 20), content(response));
   }
 
   @Test
-  void answerIsWholeOverCutsCrossedRepeatedAndMissingChunks() throws IOException {
+  void answerIsCompleteDespiteTruncatedReorderedRepeatedAndMissingChunks() throws IOException {
     int one = site.engine("engine-1", "a");
     int two = site.engine("engine-2", "a");
     EntryHostRuntime host = site.host("host-a", "a");
@@ -75,10 +75,10 @@
       }
       site.engineFaults(one, NONE);
     }
-    TestSite.until("nothing is held", () -> held(one) == 0 && held(two) == 0);
+    TestSite.until("no streams are held", () -> heldStreams(one) == 0 && heldStreams(two) == 0);
   }
 
-  private long held(int port) {
+  private long heldStreams(int port) {
     try {
       return MAPPER.readTree(site.get(port, "/v1/holdings", "").body()).get("holdings").size();
     } catch (IOException e) {
@@ -87,10 +87,10 @@
   }
 
   @Test
-  void callThatMayNotBeRepeatedRunsOnceThoughItsAnswerIsLost() throws IOException {
+  void nonRepeatableCallRunsOnceWhenItsAnswerIsLost() throws IOException {
     int plain = site.plain("ordering-1", "a");
     site.plain("ordering-2", "a");
-    site.usual();
+    site.startStandardSite();
     site.post(plain, "/faults", "", new PlainStandin.Faults(false, true, 0));
     HttpResponse<String> first = site.order(site.hosts.get(0), "k1", 0);
     if (first.statusCode() == OK) {
@@ -109,7 +109,7 @@
   @Test
   void callRefusedByTheServiceRunsOnceThroughAnotherHost() throws IOException {
     int plain = site.plain("ordering-1", "a");
-    site.usual();
+    site.startStandardSite();
     site.post(plain, "/faults", "", new PlainStandin.Faults(true, false, 0));
     HttpResponse<String> first = site.order(site.hosts.get(0), "k2", 0);
     assertEquals("no", ran(first));
@@ -124,9 +124,9 @@
   }
 
   @Test
-  void uncountedKeySentThroughTwoHostsAtOnceRunsAtMostOnce() {
+  void keyWithoutRetryCountSentThroughTwoHostsAtOnceRunsAtMostOnce() {
     int plain = site.plain("ordering-1", "a");
-    site.usual();
+    site.startStandardSite();
     for (int i = 0; i < 10; i++) {
       String key = "race-" + i;
       CompletableFuture<?> one =
@@ -139,21 +139,21 @@
   }
 
   @Test
-  void plannedStopCutsNothingAndHandsKeysOver() throws IOException {
+  void plannedShutdownAbortsNoRequestAndHandsKeysOver() throws IOException {
     int plain = site.plain("ordering-1", "a");
-    site.usual();
+    site.startStandardSite();
     EntryHostRuntime other = site.host("host-a2", "a");
     site.ready(other);
-    EntryHostRuntime leaving = site.hosts.get(0);
-    TestSite.until("peers know each other", () -> leaving.status().peers().size() == 2);
-    assertEquals(OK, site.order(leaving, "k3", 0).statusCode());
-    TestSite.until("the order is over", () -> leaving.status().requestsOpen() == 0);
+    EntryHostRuntime stopping = site.hosts.get(0);
+    TestSite.until("peers know each other", () -> stopping.status().peers().size() == 2);
+    assertEquals(OK, site.order(stopping, "k3", 0).statusCode());
+    TestSite.until("the order is over", () -> stopping.status().requestsOpen() == 0);
     CompletableFuture<HttpResponse<String>> inProgress =
-        CompletableFuture.supplyAsync(() -> site.chat(leaving, "long answer", 600));
-    TestSite.until("in progress", () -> leaving.status().requestsOpen() == 1);
-    CompletableFuture<Void> drained = leaving.drain();
-    assertEquals("draining", leaving.status().state());
-    HttpResponse<String> refused = site.chat(leaving, "too late", 4);
+        CompletableFuture.supplyAsync(() -> site.chat(stopping, "long answer", 600));
+    TestSite.until("in progress", () -> stopping.status().requestsOpen() == 1);
+    CompletableFuture<Void> drained = stopping.drain();
+    assertEquals("draining", stopping.status().state());
+    HttpResponse<String> refused = site.chat(stopping, "too late", 4);
     assertEquals("draining", code(refused));
     assertEquals("no", ran(refused));
     assertEquals(AnswerText.whole("long answer", 600), content(inProgress.join()));
@@ -164,8 +164,8 @@
   }
 
   @Test
-  void racingOperatorsHaveOneWinnerWhoIsNamed() {
-    site.usual();
+  void concurrentPublicationsHaveOneWinnerWhoseOperatorIsNamed() {
+    site.startStandardSite();
     long revision = site.hosts.get(0).status().tableRevision();
     ChangeView one = new ChangeView("counter/chat", "share", "5");
     ChangeView two = new ChangeView("counter/chat", "share", "6");
@@ -180,8 +180,8 @@
   }
 
   @Test
-  void publicationWhoseConfirmationIsLostIsInForce() {
-    site.usual();
+  void publicationWithLostConfirmationTakesEffect() {
+    site.startStandardSite();
     site.platformFaults(new PlatformMessages.Faults(null, true, null, null, null));
     long revision = site.hosts.get(0).status().tableRevision();
     ChangeView change = new ChangeView("counter/chat", "share", "7");
@@ -191,8 +191,8 @@
   }
 
   @Test
-  void badCellsAreNamedAndNothingIsPublished() {
-    site.usual();
+  void invalidCellsAreReportedAndNothingIsPublished() {
+    site.startStandardSite();
     long revision = site.hosts.get(0).status().tableRevision();
     ChangeView bad = new ChangeView("counter/chat", "share", "many");
     ChangeView good = new ChangeView("counter/chat", "in_flight", "7");
@@ -204,8 +204,8 @@
   }
 
   @Test
-  void newHostGetsTableAndEndpointsFromPeersWhileThePlatformIsDown() throws IOException {
-    site.usual();
+  void newHostReceivesTableAndEndpointsFromPeersWhileThePlatformIsDown() throws IOException {
+    site.startStandardSite();
     long revision = site.hosts.get(0).status().tableRevision();
     site.platformFaults(new PlatformMessages.Faults(true, null, null, null, null));
     EntryHostRuntime late = site.host("host-a2", "a");
@@ -216,8 +216,8 @@
   }
 
   @Test
-  void hostStartsFromASnapshotWhenTheLogForgot() {
-    site.usual();
+  void hostStartsFromSnapshotWhenOlderLogRecordsHaveExpired() {
+    site.startStandardSite();
     EntryHostRuntime host = site.hosts.get(0);
     for (int i = 0; i < 520; i++) {
       ChangeView change = new ChangeView("counter/chat", "in_flight", Integer.toString(1_000 + i));
@@ -237,14 +237,14 @@
   }
 
   @Test
-  void leavingEndpointGetsNoNewWorkFromAnyHost() throws IOException {
+  void drainingEndpointReceivesNoNewWorkFromAnyHost() throws IOException {
     int one = site.engine("engine-0", "a");
-    site.usual();
+    site.startStandardSite();
     site.platformFaults(new PlatformMessages.Faults(null, null, null, 600_000, null));
     site.engineFaults(one, new Faults(null, null, true, null, null, null, null, null));
     for (EntryHostRuntime host : site.hosts) {
       TestSite.until(
-          "known to be leaving",
+          "known to be shutting down",
           () -> host.status().endpointsLeaving().stream().anyMatch(e -> e.startsWith("engine-0")));
       assertFalse(host.status().endpointsOpen().contains("engine-0"));
       assertEquals(OK, site.chat(host, "x", 3).statusCode());
@@ -252,16 +252,16 @@
   }
 
   @Test
-  void rollingRestartUnderLoadLosesNothing() throws IOException {
+  void rollingRestartUnderLoadLosesNoRequest() throws IOException {
     int plain = site.plain("ordering-1", "a");
-    site.usual();
+    site.startStandardSite();
     List<EntryHostRuntime> live = new java.util.concurrent.CopyOnWriteArrayList<>(site.hosts);
     CompletableFuture<Integer> load = CompletableFuture.supplyAsync(() -> callAll(live));
     for (int i = 0; i < 2; i++) {
       EntryHostRuntime old = site.hosts.get(i);
       EntryHostRuntime fresh = site.host("host-new-" + i, i == 0 ? "a" : "b");
       site.ready(fresh);
-      TestSite.until("heirs are known", () -> old.status().peers().size() >= 2);
+      TestSite.until("successors are known", () -> old.status().peers().size() >= 2);
       live.add(fresh);
       live.remove(old);
       old.drain().join();
@@ -273,24 +273,26 @@
     }
   }
 
-  /** Calls as a balancer's clients do: a refusal that says "not run" is sent again elsewhere. */
+  /**
+   * Sends calls like clients of a load balancer, which retry a refusal with "not run" elsewhere.
+   */
   private int callAll(List<EntryHostRuntime> live) {
     int calls = 60;
     for (int i = 0; i < calls; i++) {
       String prompt = "rolling " + i;
       String expected = AnswerText.whole(prompt, 30);
-      int turn = i;
-      TestSite.until("whole answer " + i, () -> expected.equals(chatContent(live, turn, prompt)));
-      site.order(live.get(turn % live.size()), "roll-" + i, 0);
+      int index = i;
+      TestSite.until("whole answer " + i, () -> expected.equals(chatContent(live, index, prompt)));
+      site.order(live.get(index % live.size()), "roll-" + i, 0);
     }
     return calls;
   }
 
-  private String chatContent(List<EntryHostRuntime> live, int turn, String prompt) {
+  private String chatContent(List<EntryHostRuntime> live, int index, String prompt) {
     try {
-      HttpResponse<String> response = site.chat(live.get(turn % live.size()), prompt, 30);
+      HttpResponse<String> response = site.chat(live.get(index % live.size()), prompt, 30);
       boolean refused = response.statusCode() != OK;
-      // While hosts are stopped one by one, no request that was admitted may fail.
+      // No admitted request may fail while hosts are stopped one after the other.
       assertTrue(!refused || "draining".equals(code(response)), response.body());
       return refused ? "" : content(response);
     } catch (IOException e) {
