--- a/org.fawndrum/src/org/fawndrum/coordination/Action.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Action.java
@@ -6,55 +6,55 @@
 import org.fawndrum.coordination.engine.EngineNews;
 import org.fawndrum.state.Endpoint;
 
-/** What the decisions ask the layers around them to do. */
+/** An action that the decisions return for the surrounding layers to carry out. */
 public sealed interface Action {
   /**
-   * Send a request to an endpoint.
+   * Sends a request to an endpoint.
    *
    * @param attempt the attempt
-   * @param endpoint where to
-   * @param priority for the engine, 0 to 9
-   * @param deadlineMs when the request must have ended, in milliseconds of the host's clock
-   * @param helpers other engines that read parts of the prompt; none for most requests
+   * @param endpoint the endpoint to send to
+   * @param priority the priority at the engine, 0 to 9
+   * @param deadlineMs when the request must be complete, in milliseconds of the host's clock
+   * @param helpers helper engines that prefill segments of the prompt; empty for most requests
    */
   record Send(
       AttemptId attempt, Endpoint endpoint, int priority, long deadlineMs, List<Helper> helpers)
       implements Action {
-    /** Copies the list, so that the order cannot change. */
+    /** Copies the list to keep the record immutable. */
     public Send {
       helpers = List.copyOf(helpers);
     }
   }
 
   /**
-   * Another engine that takes part in reading a prompt.
+   * A helper engine that prefills a segment of a prompt.
    *
    * @param endpoint the engine
-   * @param memoryTokens the memory to set aside there first, in tokens; 0 for none
+   * @param memoryTokens the memory to reserve there before sending, in tokens; 0 for none
    */
   record Helper(Endpoint endpoint, long memoryTokens) {}
 
-  /** Tell an endpoint that nobody waits for an attempt any more, and free what it holds. */
+  /** Tells an endpoint that an attempt is abandoned, and releases what it holds. */
   record Cancel(AttemptId attempt, Endpoint endpoint) implements Action {}
 
-  /** Give the caller its final answer, which is not a whole one. */
+  /** Sends the caller a refusal as its final answer. */
   record Refuse(String requestId, Refusal refusal) implements Action {}
 
   /**
-   * Tell the other daemons about work at an endpoint.
+   * Sends an update about work at an endpoint to the other daemons.
    *
-   * @param news the news
-   * @param zone the endpoint's zone, whose daemons should know soonest; empty for all daemons
+   * @param news the update
+   * @param zone the endpoint's zone, whose daemons receive it first; empty for all daemons
    */
   record Announce(EngineNews news, String zone) implements Action {}
 
   /**
-   * Tell the other daemons about endpoints that ended and the requests that they had.
+   * Sends an update about crashed endpoints and their requests to the other daemons.
    *
-   * @param news the news
+   * @param news the update
    */
   record TellCrashes(CrashNews news) implements Action {}
 
-  /** Show a decision. */
+  /** Records a decision for the live watch, the log and the metrics. */
   record Explain(Decision decision) implements Action {}
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/AnswerAssembler.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/AnswerAssembler.java
@@ -6,89 +6,92 @@
 import java.util.TreeMap;
 
 /**
- * Puts the chunks of one request's answer in order. Only chunks of the current attempt count; a
- * late, crossed or repeated chunk is dropped, one that came too early is held, and the answer is
- * whole only when every position up to the announced count was handed on once. Confined to one
- * thread.
+ * Reassembles the chunks of one request's answer in order. Accepts only chunks of the current
+ * attempt; chunks of other attempts and repeated chunks are dropped, and chunks that arrive ahead
+ * of a gap are buffered. The answer is complete only when every position up to the announced count
+ * was delivered once. Confined to one thread.
  */
 public final class AnswerAssembler {
-  /** How many chunks that came too early are held before the attempt counts as cut. */
-  public static final int MOST_HELD = 64;
+  /**
+   * Maximum number of chunks buffered ahead of a gap; beyond it the attempt counts as truncated.
+   */
+  public static final int MAX_BUFFERED = 64;
 
-  private final TreeMap<Long, String> early = new TreeMap<>();
+  private final TreeMap<Long, String> outOfOrder = new TreeMap<>();
   private AttemptId current;
   private long position;
-  private long announced = -1;
+  private long announcedCount = -1;
 
-  /** What became of a chunk or an end mark. */
+  /** Outcome of adding a chunk or an end mark. */
   public enum Result {
-    /** Nothing new can be handed on, and nothing is wrong. */
+    /** No new text can be delivered, and no error was detected. */
     NOTHING,
-    /** {@link AnswerAssembler#takeReady} has text to hand on. */
+    /** {@link AnswerAssembler#takeReady} has text to deliver. */
     READY,
-    /** The whole answer was handed on, or is ready to be. */
+    /** The whole answer was delivered or is ready to be. */
     WHOLE,
-    /** The attempt cannot make the answer whole; resume from {@link AnswerAssembler#position}. */
+    /** The attempt cannot complete the answer; resume from {@link AnswerAssembler#position}. */
     CUT
   }
 
   private final List<String> ready = new ArrayList<>();
 
   /**
-   * Begins an attempt, which must continue at {@link #position}. Earlier attempts count no more.
+   * Begins an attempt, which must continue at {@link #position}. Chunks of earlier attempts are
+   * ignored from now on.
    */
   public void begin(AttemptId attempt) {
     current = attempt;
-    announced = -1;
-    early.clear();
+    announcedCount = -1;
+    outOfOrder.clear();
   }
 
-  /** Ends the current attempt: whatever still comes of it is dropped. */
+  /** Ends the current attempt. Its later chunks are dropped. */
   public void abandon() {
     current = null;
-    announced = -1;
-    early.clear();
+    announcedCount = -1;
+    outOfOrder.clear();
   }
 
-  /** Returns how many chunks are held or handed on without a gap: where to resume. */
+  /** Returns the number of chunks received without a gap, which is the position to resume at. */
   public long position() {
     return position;
   }
 
   /**
-   * Takes a chunk.
+   * Adds a chunk.
    *
-   * @param attempt the attempt that the chunk names
-   * @param at its position in the answer, from 0
-   * @param text its text
+   * @param attempt the attempt named in the chunk
+   * @param at the position in the answer, from 0
+   * @param text the text
    */
   public Result chunk(AttemptId attempt, long at, String text) {
     if (!attempt.equals(current) || at < position) {
       return Result.NOTHING;
     }
-    if (announced >= 0 && at >= announced) {
+    if (announcedCount >= 0 && at >= announcedCount) {
       return Result.CUT;
     }
     if (at > position) {
-      early.putIfAbsent(at, text);
-      return early.size() > MOST_HELD ? Result.CUT : Result.NOTHING;
+      outOfOrder.putIfAbsent(at, text);
+      return outOfOrder.size() > MAX_BUFFERED ? Result.CUT : Result.NOTHING;
     }
-    handOn(text);
-    while (!early.isEmpty() && early.firstKey() == position) {
-      handOn(early.pollFirstEntry().getValue());
+    deliver(text);
+    while (!outOfOrder.isEmpty() && outOfOrder.firstKey() == position) {
+      deliver(outOfOrder.pollFirstEntry().getValue());
     }
-    return position == announced ? Result.WHOLE : Result.READY;
+    return position == announcedCount ? Result.WHOLE : Result.READY;
   }
 
-  private void handOn(String text) {
+  private void deliver(String text) {
     ready.add(text);
     position++;
   }
 
   /**
-   * Takes the end mark of an attempt.
+   * Adds the end mark of an attempt.
    *
-   * @param attempt the attempt that the mark names
+   * @param attempt the attempt named in the mark
    * @param count the number of chunks of the whole answer
    */
   public Result end(AttemptId attempt, long count) {
@@ -96,15 +99,15 @@
       return Result.NOTHING;
     }
     boolean tooShort = count < position;
-    boolean beyond = !early.isEmpty() && early.lastKey() >= count;
-    if (tooShort || beyond || announced >= 0 && announced != count) {
+    boolean beyond = !outOfOrder.isEmpty() && outOfOrder.lastKey() >= count;
+    if (tooShort || beyond || announcedCount >= 0 && announcedCount != count) {
       return Result.CUT;
     }
-    announced = count;
+    announcedCount = count;
     return position == count ? Result.WHOLE : Result.NOTHING;
   }
 
-  /** Returns the text that can be handed on now, in order, each piece once. */
+  /** Returns the text that can be delivered now, in order, and removes it. */
   public List<String> takeReady() {
     List<String> taken = List.copyOf(ready);
     ready.clear();
--- a/org.fawndrum/src/org/fawndrum/coordination/AttemptEvent.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/AttemptEvent.java
@@ -1,24 +1,29 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.coordination;
 
-/** What happens to an attempt. */
+/** An event in the life of an attempt. */
 public enum AttemptEvent {
-  /** The order to send was given; from now on bytes may leave at any moment. */
+  /** The send action was emitted; from now on bytes may leave the host at any time. */
   SENDING,
-  /** The transport says that nothing was handed to the network and nothing will be. */
+  /** The transport reports that nothing was written to the network and nothing will be. */
   CONNECT_FAILED,
-  /** The endpoint asked for rest before anything was handed to the network; nothing will be. */
+  /**
+   * The endpoint requested a backoff before anything was written to the network; nothing will be.
+   */
   ENDPOINT_RESTS,
-  /** The endpoint says that it did not and will not run the request. */
+  /** The endpoint reports that it did not run the request and will not. */
   REFUSED_BY_ENDPOINT,
-  /** A part of the answer arrived. */
+  /** Part of the answer arrived. */
   ANSWERING,
   /** The whole answer arrived. */
   ANSWERED,
-  /** The endpoint says that it ran the request and failed. */
+  /** The endpoint reports that it ran the request and failed. */
   FAILED_BY_ENDPOINT,
-  /** Nothing came for so long that another endpoint is tried if it may be; this one may be slow. */
+  /**
+   * Nothing arrived for so long that another endpoint should be tried if the request may be
+   * repeated. The endpoint may just be slow.
+   */
   STALLED,
-  /** The connection was lost, or the time to wait is over. */
+  /** The connection was lost, or the attempt timed out. */
   LOST
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/AttemptId.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/AttemptId.java
@@ -4,11 +4,11 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * One sending of a request to one endpoint.
+ * Identifies one attempt to send a request to an endpoint.
  *
  * @param owner the daemon incarnation that sends
  * @param requestId the request
- * @param number counts the attempts of the request from 1
+ * @param number the number of the attempt within the request, from 1
  */
 public record AttemptId(HostIdentity owner, String requestId, int number) {
   @Override
--- a/org.fawndrum/src/org/fawndrum/coordination/AttemptState.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/AttemptState.java
@@ -1,29 +1,29 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.coordination;
 
-/** Where an attempt stands. */
+/** State of an attempt. */
 public enum AttemptState {
   /** Nothing can have left this host. */
   WAITING,
   /** Bytes may have left this host. */
   SENT,
-  /** The endpoint has shown that it runs the request. */
+  /** The endpoint is known to run the request. */
   RUNNING,
   /** The whole answer arrived. */
   DONE,
-  /** It surely did not run: nothing was sent, or the endpoint said so. */
+  /** The request did not run: nothing was sent, or the endpoint said so. */
   NOT_RUN,
-  /** It ran and failed. */
+  /** The request ran and failed. */
   FAILED,
-  /** It was sent and nothing is known of it. */
+  /** The request was sent and its outcome is unknown. */
   UNKNOWN;
 
-  /** Tells whether nothing more can happen to the attempt. */
+  /** Whether the state is final. */
   public boolean ended() {
     return this == DONE || this == NOT_RUN || this == FAILED || this == UNKNOWN;
   }
 
-  /** Returns what the state proves about running. */
+  /** Returns what the state proves about whether the request ran. */
   public Ran ran() {
     return switch (this) {
       case WAITING, NOT_RUN -> Ran.NO;
--- a/org.fawndrum/src/org/fawndrum/coordination/AttemptStates.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/AttemptTransitions.java
@@ -2,17 +2,17 @@
 package org.fawndrum.coordination;
 
 /**
- * The transitions of an attempt. "Not run" can only come from where nothing was sent, or the
- * endpoint says so.
+ * The state transitions of an attempt. {@link AttemptState#NOT_RUN} is reached only if nothing was
+ * sent or the endpoint reported that it did not run the request.
  */
-public final class AttemptStates {
-  private AttemptStates() {}
+public final class AttemptTransitions {
+  private AttemptTransitions() {}
 
   /**
-   * Returns the state after an event. An ended attempt stays as it is: late events change nothing,
-   * but a late answer to an attempt of unknown outcome proves that it ran.
+   * Returns the state after an event. A final state does not change on late events, except that a
+   * late answer to an attempt of unknown outcome proves that it ran.
    */
-  public static AttemptState after(AttemptState state, AttemptEvent event) {
+  public static AttemptState next(AttemptState state, AttemptEvent event) {
     if (state == AttemptState.UNKNOWN) {
       return afterUnknown(event);
     }
@@ -28,7 +28,7 @@
       case ANSWERING -> AttemptState.RUNNING;
       case ANSWERED -> AttemptState.DONE;
       case FAILED_BY_ENDPOINT -> AttemptState.FAILED;
-      case STALLED, LOST -> lost(state);
+      case STALLED, LOST -> afterLoss(state);
     };
   }
 
@@ -39,7 +39,7 @@
     };
   }
 
-  private static AttemptState lost(AttemptState state) {
+  private static AttemptState afterLoss(AttemptState state) {
     return switch (state) {
       case WAITING -> AttemptState.NOT_RUN;
       case SENT -> AttemptState.UNKNOWN;
--- a/org.fawndrum/src/org/fawndrum/coordination/AwakeTimes.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/AwakeTimes.java
@@ -2,52 +2,53 @@
 package org.fawndrum.coordination;
 
 /**
- * When a host last was awake, from looks that come regularly while it is. What is handled just
- * after a host stood still may have come at any moment since: an order to stop counts from when it
- * was given, not from when it was handled. Safe for all threads; times are those of the host's
- * clock, in milliseconds.
+ * Detects pauses of the process from regular ticks. An event handled just after a pause may have
+ * arrived at any time during it: the grace period of a stop order starts when the order was sent,
+ * not when it was handled. Thread-safe; times are those of the host's clock, in milliseconds.
  */
 public final class AwakeTimes {
-  /** By how much a look may be late on a busy machine, in milliseconds. */
-  private static final long LATE_MS = 300;
+  /** Maximum delay of a tick on a busy machine that does not count as a pause, in milliseconds. */
+  private static final long MAX_TICK_DELAY_MS = 300;
 
-  /** How long after the host went on something that had come before is handled at the latest. */
-  private static final long HANDLED_MS = 100;
+  /**
+   * Maximum time after a pause until events that arrived during it are handled, in milliseconds.
+   */
+  private static final long BACKLOG_AFTER_PAUSE_MS = 100;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final long everyMs;
-  private long lookedMs = NEVER;
-  private long stillFromMs;
-  private long stillUntilMs = NEVER;
+  private final long tickIntervalMs;
+  private long lastTickMs = NEVER;
+  private long pauseStartMs;
+  private long pauseEndMs = NEVER;
 
   /**
-   * Makes times of a host that has not looked yet.
+   * Creates a detector that has seen no tick.
    *
-   * @param everyMs the time between two looks, in milliseconds
+   * @param tickIntervalMs the interval between ticks, in milliseconds
    */
-  public AwakeTimes(long everyMs) {
-    this.everyMs = everyMs;
+  public AwakeTimes(long tickIntervalMs) {
+    this.tickIntervalMs = tickIntervalMs;
   }
 
-  /** Takes note of a look. */
+  /** Records a tick. */
   public synchronized void looked(long nowMs) {
-    if (stoodStill(nowMs)) {
-      stillFromMs = lookedMs;
-      stillUntilMs = nowMs;
+    if (pausedSinceLastTick(nowMs)) {
+      pauseStartMs = lastTickMs;
+      pauseEndMs = nowMs;
     }
-    lookedMs = nowMs;
+    lastTickMs = nowMs;
   }
 
-  private boolean stoodStill(long nowMs) {
-    return lookedMs != NEVER && nowMs - lookedMs > everyMs + LATE_MS;
+  private boolean pausedSinceLastTick(long nowMs) {
+    return lastTickMs != NEVER && nowMs - lastTickMs > tickIntervalMs + MAX_TICK_DELAY_MS;
   }
 
-  /** Returns when something that is handled now may have come at the earliest. */
+  /** Returns the earliest time at which an event handled now may have arrived. */
   public synchronized long earliestMs(long nowMs) {
-    if (stoodStill(nowMs)) {
-      return lookedMs;
+    if (pausedSinceLastTick(nowMs)) {
+      return lastTickMs;
     }
-    return nowMs - stillUntilMs <= HANDLED_MS ? stillFromMs : nowMs;
+    return nowMs - pauseEndMs <= BACKLOG_AFTER_PAUSE_MS ? pauseStartMs : nowMs;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/CachedPrefixes.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/CachedPrefixes.java
@@ -6,53 +6,53 @@
 import java.util.Map;
 
 /**
- * What is known of an engine's prefix cache, from its events and from what was sent to it. The
- * events come late and with gaps, so this is a guess that costs time, never correctness, when
- * wrong. Bounded; the least recently used prefix is forgotten first. Confined to one thread.
+ * Estimates the contents of an engine's prefix cache from its cache events and from the prompts
+ * sent to it. Events arrive late and with gaps; a wrong estimate costs time but not correctness.
+ * Bounded: evicts the least recently used prefix. Confined to one thread.
  */
 final class CachedPrefixes {
-  /** How many prefixes are remembered for all engines of a host together. */
-  static final int MOST_IN_ALL = 65_536;
+  /** Maximum number of prefixes kept for all engines of a host together. */
+  static final int MAX_TOTAL = 65_536;
 
-  /** How many prefixes are remembered for one engine at the most. */
-  static final int MOST = 512;
+  /** Maximum number of prefixes kept for one engine. */
+  static final int MAX_PER_ENGINE = 512;
 
-  private final int most;
+  private final int capacity;
 
-  private final Map<Long, Boolean> known =
+  private final Map<Long, Boolean> cached =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-          return size() > most;
+          return size() > capacity;
         }
       };
 
-  /** Makes an empty cache view of one engine among so many. */
+  /** Creates an empty estimate for one of the given number of engines. */
   CachedPrefixes(int engines) {
-    this.most = Math.max(1, Math.min(MOST, MOST_IN_ALL / Math.max(1, engines)));
+    this.capacity = Math.max(1, Math.min(MAX_PER_ENGINE, MAX_TOTAL / Math.max(1, engines)));
   }
 
   void stored(List<Long> prefixes) {
     for (Long prefix : prefixes) {
-      known.put(prefix, Boolean.TRUE);
+      cached.put(prefix, Boolean.TRUE);
     }
   }
 
   void evicted(List<Long> prefixes) {
-    known.keySet().removeAll(prefixes);
+    cached.keySet().removeAll(prefixes);
   }
 
-  /** Forgets everything: a gap in the events, after which nothing is known. */
-  void gap() {
-    known.clear();
+  /** Removes all prefixes, since a gap in the events makes the estimate worthless. */
+  void clear() {
+    cached.clear();
   }
 
-  /** Returns how many of a prompt's leading blocks are probably cached. */
-  int match(List<Long> prefixes) {
+  /** Returns the number of leading blocks of a prompt that are probably cached. */
+  int matchingBlocks(List<Long> prefixes) {
     int blocks = 0;
-    while (blocks < prefixes.size() && known.containsKey(prefixes.get(blocks))) {
+    while (blocks < prefixes.size() && cached.containsKey(prefixes.get(blocks))) {
       blocks++;
     }
     return blocks;
--- a/org.fawndrum/src/org/fawndrum/coordination/Decision.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Decision.java
@@ -7,22 +7,22 @@
 import org.fawndrum.state.CellKey;
 
 /**
- * One decision with its reason; the live watch, the log and the histograms are fed from it.
+ * A decision on a request with its reason. Feeds the live watch, the log and the histograms.
  *
  * @param requestId the request
  * @param group its caller group
- * @param target what it asks for
+ * @param target the model or service requested
  * @param promptTokens the prompt's length in tokens
- * @param atMs when, in milliseconds of the host's clock
- * @param sinceArrivalMs milliseconds since the request arrived
+ * @param atMs the time of the decision, in milliseconds of the host's clock
+ * @param sinceArrivalMs the time since the request arrived, in milliseconds
  * @param kind what was decided
- * @param reason why
+ * @param reason why it was decided
  * @param endpoint the endpoint concerned, if any
  * @param attempt the number of the attempt concerned, 0 for none
- * @param cell the cell of the table that decided, if one did
- * @param refusal the final answer, if this is one
- * @param passedOver the nearest endpoints that were not chosen, at most three
- * @param reading how the prompt is read, if this is its placement or its first token
+ * @param cell the table cell that decided, if any
+ * @param refusal the final answer if the request was refused
+ * @param passedOver endpoints considered and not chosen, at most three
+ * @param reading how the prompt is prefilled, for a placement or a first token
  */
 public record Decision(
     String requestId,
--- a/org.fawndrum/src/org/fawndrum/coordination/DecisionBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/DecisionBuilder.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.fawndrum.state.CellKey;
 
-/** Builds the record of one decision; what is not said stays empty. Confined to one thread. */
+/** Builds the record of one decision. Fields that are not set are empty. Confined to one thread. */
 final class DecisionBuilder {
   private final RequestFacts facts;
   private final long nowMs;
@@ -16,9 +16,9 @@
   private Optional<CellKey> cell = Optional.empty();
   private Optional<Refusal> refusal = Optional.empty();
   private List<PassedOver> passedOver = List.of();
-  private Optional<Reading> reading = Optional.empty();
+  private Optional<Reading> prefill = Optional.empty();
 
-  /** Begins the record of what was decided on a request, and why. */
+  /** Creates a builder with the mandatory fields. */
   DecisionBuilder(RequestFacts facts, long nowMs, DecisionKind kind, Reason reason) {
     this.facts = facts;
     this.nowMs = nowMs;
@@ -26,35 +26,35 @@
     this.reason = reason;
   }
 
-  /** Names the attempt concerned, by its number, and its endpoint. */
-  DecisionBuilder attempt(EndpointState at, int number) {
-    endpoint = Optional.of(at.endpoint().name());
+  /** Sets the endpoint and number of the attempt. */
+  DecisionBuilder attempt(EndpointState state, int number) {
+    endpoint = Optional.of(state.endpoint().name());
     attempt = number;
     return this;
   }
 
-  /** Names the cell of the table that decided. */
+  /** Sets the table cell that decided. */
   DecisionBuilder cell(CellKey key) {
     cell = Optional.of(key);
     return this;
   }
 
-  /** Tells that this is the final answer, with the cell that decided, if one did. */
+  /** Sets the refusal and, if it has one, the table cell that decided. */
   DecisionBuilder refusal(Refusal answer) {
     refusal = Optional.of(answer);
     cell = answer.cell();
     return this;
   }
 
-  /** Names the nearest endpoints that were not chosen. */
-  DecisionBuilder passedOver(List<PassedOver> nearest) {
-    passedOver = nearest;
+  /** Sets the endpoints considered and not chosen. */
+  DecisionBuilder passedOver(List<PassedOver> endpoints) {
+    passedOver = endpoints;
     return this;
   }
 
-  /** Tells how the prompt is read, if that is known. */
-  DecisionBuilder reading(Optional<Reading> how) {
-    reading = how;
+  /** Sets how the prompt is prefilled, if known. */
+  DecisionBuilder prefill(Optional<Reading> value) {
+    prefill = value;
     return this;
   }
 
@@ -73,6 +73,6 @@
         cell,
         refusal,
         passedOver,
-        reading);
+        prefill);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/DecisionKind.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/DecisionKind.java
@@ -3,18 +3,18 @@
 
 /** What was decided about a request. */
 public enum DecisionKind {
-  /** It may run and waits for its turn. */
+  /** It was admitted to the queue. */
   ADMITTED,
-  /** It waits because no endpoint may take it now. */
+  /** It waits because no endpoint can take it now. */
   WAITING,
   /** It was sent to an endpoint. */
   PLACED,
-  /** It was given up on or never admitted. */
+  /** It was refused on arrival or given up later. */
   REFUSED,
   /** Its first token arrived. */
   FIRST_TOKEN,
   /** Its whole answer arrived. */
   FINISHED,
-  /** An attempt failed. */
+  /** One of its attempts failed. */
   ATTEMPT_FAILED
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/EarnedRetryBudget.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EarnedRetryBudget.java
@@ -2,29 +2,29 @@
 package org.fawndrum.coordination;
 
 /**
- * Keeps sending again in proportion to first sends, so that a failure does not multiply the load.
- * Each first send earns a part of a retry; a small reserve allows retries when traffic is thin.
+ * Limits retries to a fraction of first sends, so that failures do not multiply the load. Each
+ * first send earns a fraction of a retry; a small reserve allows retries under light traffic.
  */
 public final class EarnedRetryBudget implements RetryBudget {
   private final double earnedPerRequest;
-  private final double most;
+  private final double maxBalance;
   private double balance;
 
   /**
-   * Makes a budget that starts with its whole reserve.
+   * Creates a budget with a full reserve.
    *
-   * @param earnedPerRequest retries earned by one first send, such as 0.1
-   * @param reserve the most retries that can be saved up
+   * @param earnedPerRequest the retries earned by one first send, such as 0.1
+   * @param reserve the maximum number of retries that can be saved up
    */
   public EarnedRetryBudget(double earnedPerRequest, double reserve) {
     this.earnedPerRequest = earnedPerRequest;
-    this.most = reserve;
+    this.maxBalance = reserve;
     this.balance = reserve;
   }
 
   @Override
   public void firstSend(RequestTarget target, long nowMs) {
-    balance = Math.min(most, balance + earnedPerRequest);
+    balance = Math.min(maxBalance, balance + earnedPerRequest);
   }
 
   @Override
--- /dev/null
+++ b/org.fawndrum/src/org/fawndrum/coordination/EndpointRegistry.java
@@ -0,0 +1,98 @@
+// SPDX-License-Identifier: Apache-2.0
+package org.fawndrum.coordination;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.fawndrum.state.Endpoint;
+import org.fawndrum.state.HostIdentity;
+
+/**
+ * Tracks the endpoints eligible for new work, by target, and those that only finish work in flight.
+ * Confined to one thread.
+ */
+final class EndpointRegistry {
+  private final EndpointRests requestedBackoffs;
+  private final Map<HostIdentity, EndpointState> states = new HashMap<>();
+  private final Map<RequestTarget, List<EndpointState>> eligibleByTarget = new HashMap<>();
+  private final Map<RequestTarget, Long> maxMemoryByTarget = new HashMap<>();
+
+  EndpointRegistry(EndpointRests requestedBackoffs) {
+    this.requestedBackoffs = requestedBackoffs;
+  }
+
+  /**
+   * Replaces the set of endpoints eligible for new work. Endpoints not in it receive no new work,
+   * but what they have in flight continues.
+   */
+  void update(Collection<Endpoint> endpoints) {
+    Map<HostIdentity, EndpointState> updated = new HashMap<>();
+    eligibleByTarget.clear();
+    maxMemoryByTarget.clear();
+    for (Endpoint endpoint : endpoints) {
+      EndpointState state = states.get(endpoint.identity());
+      if (state == null) {
+        state = new EndpointState(endpoint, endpoints.size(), requestedBackoffs);
+      } else {
+        state.updateDescription(endpoint);
+      }
+      updated.put(endpoint.identity(), state);
+      for (String name : endpoint.serves()) {
+        RequestTarget target = new RequestTarget(endpoint.kind(), name);
+        maxMemoryByTarget.merge(target, endpoint.memoryTokens(), Math::max);
+        eligibleByTarget.computeIfAbsent(target, key -> new ArrayList<>()).add(state);
+      }
+    }
+    for (EndpointState state : states.values()) {
+      if (state.inFlight() > 0) {
+        updated.putIfAbsent(state.endpoint().identity(), state);
+      }
+    }
+    states.clear();
+    states.putAll(updated);
+  }
+
+  /** Returns the endpoints eligible for new work of a target; empty if there are none. */
+  List<EndpointState> serving(RequestTarget target) {
+    return eligibleByTarget.getOrDefault(target, List.of());
+  }
+
+  /** Whether an endpoint incarnation is eligible for new work. */
+  boolean isEligible(HostIdentity identity) {
+    EndpointState state = states.get(identity);
+    return state != null
+        && eligibleByTarget.values().stream().anyMatch(candidates -> candidates.contains(state));
+  }
+
+  /**
+   * Returns the maximum memory that one request can get at a target, in tokens. Several engines
+   * together can hold one prompt if they have engine profiles.
+   */
+  long maxRequestMemory(RequestTarget target) {
+    long largestMemory = maxMemoryByTarget.getOrDefault(target, 0L);
+    boolean several =
+        serving(target).stream().anyMatch(state -> state.endpoint().engine().isPresent());
+    return several ? largestMemory * serving(target).size() : largestMemory;
+  }
+
+  /** Records that this host saw an endpoint terminate. */
+  void terminated(HostIdentity endpoint, long atMs) {
+    requestedBackoffs.terminated(endpoint, atMs);
+  }
+
+  /** Runs an action on the state of an endpoint incarnation, if it is registered. */
+  void ifPresent(HostIdentity identity, Consumer<EndpointState> step) {
+    EndpointState state = states.get(identity);
+    if (state != null) {
+      step.accept(state);
+    }
+  }
+
+  /** Returns the state of an endpoint incarnation, or null if it is not registered. */
+  EndpointState state(HostIdentity identity) {
+    return states.get(identity);
+  }
+}
--- a/org.fawndrum/src/org/fawndrum/coordination/EndpointRests.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EndpointRests.java
@@ -6,77 +6,91 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * Until when endpoints want nothing from this host, as they asked. Only that time and an end of the
- * endpoint that this host saw after that end it: an endpoint that answers a request of before, or a
- * probe, has not taken its wish back, and one that shed its load is sound by the time it asks for.
+ * Tracks until when endpoints asked this host to send them nothing. A backoff ends at the requested
+ * time, or when this host sees the endpoint terminate after the request. An answer to an earlier
+ * request or to a probe does not end it, and an endpoint that shed load is expected to be usable
+ * again at the time it named.
  *
- * <p>An answer does not name the start that gave it. An endpoint may have started again unnoticed
- * before it asked, so that a start which becomes known after the wish may be the one that spoke; it
- * rests as well, for as long as starts take to become known.
+ * <p>An answer does not name the incarnation that sent it, and the endpoint may have restarted
+ * unnoticed before. A backoff therefore also applies to incarnations that are discovered after it
+ * was requested, for as long as the discovery of an incarnation can take.
  *
- * <p>Load, blame and crashes of an endpoint are kept elsewhere; a rest is none of these. Kept apart
- * from the list of endpoints, so that one that is missing there for a moment rests on. Safe for all
- * threads: it is read when a request is placed, and again when it is sent. Times are those of the
- * host's clock, in milliseconds.
+ * <p>Independent of an endpoint's load, failures and crashes, which are tracked elsewhere, and of
+ * the endpoint list, so that a backoff survives an endpoint's temporary absence from the list.
+ * Thread-safe: it is checked when a request is placed, and again when it is sent. Times are those
+ * of the host's clock, in milliseconds.
  */
 public final class EndpointRests {
   private static final long NONE = Long.MIN_VALUE;
 
-  /** How long after its first answer a start may become known: an outage of the store. */
-  static final long KNOWN_LATE_MS = 30_000;
+  /**
+   * Maximum time between the first answer of an incarnation and its discovery, in milliseconds: an
+   * outage of the store.
+   */
+  static final long MAX_DISCOVERY_DELAY_MS = 30_000;
 
-  private final Map<String, Wish> wishes = new ConcurrentHashMap<>();
+  private final Map<String, Backoff> backoffs = new ConcurrentHashMap<>();
 
   /**
-   * What an endpoint asked for.
+   * A requested backoff.
    *
-   * @param start the newest start that was known when it asked
-   * @param askedMs when it asked
-   * @param untilMs when its rest is over
+   * @param incarnation the newest incarnation known at the time of the request
+   * @param requestedMs when it was requested
+   * @param untilMs when it ends
    */
-  private record Wish(long start, long askedMs, long untilMs) {
-    /** Returns the end of the rest for one start of the endpoint. */
-    long endMs(long ofStart) {
-      if (ofStart < start) {
+  private record Backoff(long incarnation, long requestedMs, long untilMs) {
+    /** Returns the end of the backoff for one incarnation of the endpoint. */
+    long endMs(long ofIncarnation) {
+      if (ofIncarnation < incarnation) {
         return NONE;
       }
-      return ofStart == start ? untilMs : Math.min(untilMs, askedMs + KNOWN_LATE_MS);
+      return ofIncarnation == incarnation
+          ? untilMs
+          : Math.min(untilMs, requestedMs + MAX_DISCOVERY_DELAY_MS);
     }
 
-    /** Returns this wish with a second one; one that ends earlier does not shorten another. */
-    Wish and(Wish second) {
-      return new Wish(second.start, second.askedMs, Math.max(endMs(second.start), second.untilMs));
+    /** Combines this backoff with a later one; the later one does not shorten it. */
+    Backoff mergedWith(Backoff second) {
+      return new Backoff(
+          second.incarnation,
+          second.requestedMs,
+          Math.max(endMs(second.incarnation), second.untilMs));
     }
   }
 
-  /** Takes note of a wish of an endpoint, whose newest known start is named. */
-  public void asked(HostIdentity endpoint, long restMs, long nowMs) {
-    wishes.values().removeIf(one -> one.untilMs() <= nowMs);
-    Wish wish = new Wish(endpoint.incarnation(), nowMs, nowMs + restMs);
-    wishes.merge(endpoint.host(), wish, Wish::and);
+  /** Records the backoff requested by an endpoint, given with its newest known incarnation. */
+  public void asked(HostIdentity endpoint, long durationMs, long nowMs) {
+    backoffs.values().removeIf(backoff -> backoff.untilMs() <= nowMs);
+    Backoff backoff = new Backoff(endpoint.incarnation(), nowMs, nowMs + durationMs);
+    backoffs.merge(endpoint.host(), backoff, Backoff::mergedWith);
   }
 
   /**
-   * Takes note that this host saw an endpoint end; what it asked for before is over. What others
-   * tell of an end may bear the time at which they learned of it, long after the wish.
+   * Records that this host saw an endpoint terminate, which ends a backoff requested before.
+   * Terminations reported by other hosts must not be passed in: their time may be that of the
+   * report, long after the backoff was requested.
    */
-  void ended(HostIdentity endpoint, long atMs) {
-    wishes.computeIfPresent(endpoint.host(), (host, one) -> one.askedMs() <= atMs ? null : one);
+  void terminated(HostIdentity endpoint, long atMs) {
+    backoffs.computeIfPresent(
+        endpoint.host(), (host, backoff) -> backoff.requestedMs() <= atMs ? null : backoff);
   }
 
-  /** Returns the end of an endpoint's rest, which may be over. */
+  /**
+   * Returns the end of an endpoint's backoff, which may have passed; {@link Long#MIN_VALUE} if none
+   * applies.
+   */
   long endMs(HostIdentity endpoint) {
-    Wish wish = wishes.get(endpoint.host());
-    return wish == null ? NONE : wish.endMs(endpoint.incarnation());
+    Backoff backoff = backoffs.get(endpoint.host());
+    return backoff == null ? NONE : backoff.endMs(endpoint.incarnation());
   }
 
-  /** Tells whether an endpoint wants nothing from this host now. */
+  /** Whether an endpoint asked this host to send nothing now. */
   public boolean lasts(HostIdentity endpoint, long nowMs) {
     return nowMs < endMs(endpoint);
   }
 
-  /** Returns how many endpoints rest now. */
+  /** Returns the number of endpoints in backoff. */
   public long count(long nowMs) {
-    return wishes.values().stream().filter(one -> nowMs < one.untilMs()).count();
+    return backoffs.values().stream().filter(backoff -> nowMs < backoff.untilMs()).count();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/EndpointRoster.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EndpointRoster.java
@@ -13,185 +13,191 @@
 import org.fawndrum.state.HostListing;
 
 /**
- * Which endpoint incarnations may get new work. An incarnation that is leaving stays leaving,
- * whoever said so first: the platform's list, the endpoint itself in any of its answers, or a peer.
- * Nothing takes that back: an entry that still says otherwise is older, since an endpoint that
- * leaves may have no store to write to. A restarted endpoint is another incarnation and comes back
- * at once. An older list is never taken over a newer one. Confined to one thread.
+ * Tracks which endpoint incarnations are eligible for new work. An incarnation reported as draining
+ * stays so, whether it was first reported by the platform's list, by the endpoint itself in an
+ * answer, or by a peer. A list entry that contradicts this is older, because a draining endpoint
+ * may be unable to update the store. A restarted endpoint is a new incarnation and is eligible at
+ * once. An older list never replaces a newer one. Confined to one thread.
  */
 public final class EndpointRoster {
   /**
-   * How many leaving incarnations are kept that the list does not name any more: more than are
-   * replaced in a fleet of 10,000 endpoints while a copy of the store that may name them is in use.
+   * Maximum number of draining incarnations kept that the list no longer contains. More than the
+   * number replaced in a fleet of 10,000 endpoints while a copy of the store that may contain them
+   * is in use.
    */
-  private static final int MOST_UNLISTED = 1_024;
+  private static final int MAX_UNLISTED = 1_024;
 
   private HostListing listing = HostListing.NONE;
 
-  /** In the order in which they were heard of. */
+  /** The draining incarnations, in the order in which they were first reported. */
   private final Set<HostIdentity> leaving = new LinkedHashSet<>();
 
-  /** Those of them that said so in an answer, which may have been a later start's. */
-  private final Set<HostIdentity> saidInAnswer = new HashSet<>();
+  /** Draining incarnations reported in an answer, which may have come from a later incarnation. */
+  private final Set<HostIdentity> reportedInAnswer = new HashSet<>();
 
-  /** Starts that may have given such an answer; they get no work until they have been asked. */
-  private final Set<HostIdentity> unclear = new HashSet<>();
+  /**
+   * Incarnations that may have sent such an answer. They receive no work until they were probed.
+   */
+  private final Set<HostIdentity> unverified = new HashSet<>();
 
-  private final Set<HostIdentity> notAskedYet = new LinkedHashSet<>();
+  private final Set<HostIdentity> notYetProbed = new LinkedHashSet<>();
   private final Map<String, Long> newestIncarnations = new HashMap<>();
 
-  /** Takes a reading of the list; returns whether anything changed. */
-  public boolean listed(HostListing reading) {
-    if (reading.version() <= listing.version()) {
+  /** Applies a version of the list. Returns whether it was newer than the current one. */
+  public boolean listed(HostListing newer) {
+    if (newer.version() <= listing.version()) {
       return false;
     }
-    listing = reading;
-    reading.endpoints().forEach(endpoint -> seen(endpoint.identity()));
-    leaving.addAll(reading.leaving());
-    saidInAnswer.removeAll(reading.leaving());
-    forgetGone();
+    listing = newer;
+    newer.endpoints().forEach(endpoint -> recordIncarnation(endpoint.identity()));
+    leaving.addAll(newer.leaving());
+    reportedInAnswer.removeAll(newer.leaving());
+    pruneDraining();
     return true;
   }
 
   /**
-   * Takes the notice that an incarnation is leaving, from itself or from a peer; returns whether it
-   * is news.
+   * Records that an incarnation is draining, as reported by itself or by a peer. Returns whether
+   * this was unknown.
    */
   public boolean saidLeaving(HostIdentity endpoint) {
     return !isOver(endpoint) && leaving.add(endpoint);
   }
 
   /**
-   * Takes the same from an answer, which does not name the start that gave it. The endpoint may
-   * have started again unnoticed before; a start that becomes known later is unclear until it has
-   * been asked.
+   * Records that an incarnation is draining, as reported in an answer, which does not name the
+   * incarnation that sent it. The endpoint may have restarted unnoticed before; an incarnation
+   * discovered later must be probed before use. Returns whether this was unknown.
    */
   public boolean saidLeavingInAnswer(HostIdentity endpoint) {
-    boolean news = saidLeaving(endpoint);
-    if (news) {
-      saidInAnswer.add(endpoint);
+    boolean isNew = saidLeaving(endpoint);
+    if (isNew) {
+      reportedInAnswer.add(endpoint);
     }
-    return news;
+    return isNew;
   }
 
-  /** Returns the endpoints at starts that are unclear; each start once. */
+  /** Returns the endpoints whose newest incarnation must be probed, each incarnation once. */
   public List<Endpoint> takeUnclear() {
-    if (notAskedYet.isEmpty()) {
+    if (notYetProbed.isEmpty()) {
       return List.of();
     }
-    List<Endpoint> toAsk =
+    List<Endpoint> toProbe =
         listing.endpoints().stream()
-            .map(this::atItsNewestStart)
-            .filter(endpoint -> notAskedYet.contains(endpoint.identity()))
+            .map(this::atNewestIncarnation)
+            .filter(endpoint -> notYetProbed.contains(endpoint.identity()))
             .toList();
-    toAsk.forEach(endpoint -> notAskedYet.remove(endpoint.identity()));
-    return toAsk;
+    toProbe.forEach(endpoint -> notYetProbed.remove(endpoint.identity()));
+    return toProbe;
   }
 
   /**
-   * Takes note that a start was asked; if it leaves, it has said so before this. Returns whether it
-   * was unclear.
+   * Records that an incarnation was probed. If it is draining, this was reported before this call.
+   * Returns whether it was waiting for the probe.
    */
-  public boolean asked(HostIdentity start) {
-    return unclear.remove(start);
+  public boolean asked(HostIdentity endpoint) {
+    return unverified.remove(endpoint);
   }
 
-  /** Takes note that an incarnation answered: earlier ones of its host are gone. */
+  /**
+   * Records that an incarnation answered, which means that earlier ones have terminated. Returns
+   * whether it is a newer incarnation of a known endpoint.
+   */
   public boolean answered(HostIdentity endpoint) {
-    return seen(endpoint);
+    return recordIncarnation(endpoint);
   }
 
   /**
-   * Takes the notice that a listed endpoint has started again; returns whether it is news. An
-   * endpoint that is not listed is passed over: only its own entry names one to use.
+   * Records a reported restart of a listed endpoint. Returns whether the incarnation is new.
+   * Endpoints that are not listed are ignored, because only the list says which endpoints to use.
    */
-  public boolean startedAgain(HostIdentity start) {
-    return newestIncarnations.containsKey(start.host()) && seen(start);
+  public boolean startedAgain(HostIdentity endpoint) {
+    return newestIncarnations.containsKey(endpoint.host()) && recordIncarnation(endpoint);
   }
 
-  /** Tells whether a later start of the endpoint is known. */
-  public boolean isOver(HostIdentity start) {
-    return start.incarnation() < newest(start);
+  /** Whether a later incarnation of the endpoint is known. */
+  public boolean isOver(HostIdentity endpoint) {
+    return endpoint.incarnation() < newest(endpoint);
   }
 
-  private boolean seen(HostIdentity endpoint) {
+  private boolean recordIncarnation(HostIdentity endpoint) {
     Long before = newestIncarnations.get(endpoint.host());
     if (before != null && before >= endpoint.incarnation()) {
       return false;
     }
     newestIncarnations.put(endpoint.host(), endpoint.incarnation());
     if (before != null) {
-      startFollows(new HostIdentity(endpoint.host(), before), endpoint);
+      supersede(new HostIdentity(endpoint.host(), before), endpoint);
     }
     return before != null;
   }
 
-  private void startFollows(HostIdentity earlier, HostIdentity later) {
-    boolean said = saidInAnswer.remove(earlier);
-    notAskedYet.remove(earlier);
-    if (unclear.remove(earlier) || said) {
-      unclear.add(later);
-      notAskedYet.add(later);
+  private void supersede(HostIdentity earlier, HostIdentity later) {
+    boolean wasReported = reportedInAnswer.remove(earlier);
+    notYetProbed.remove(earlier);
+    if (unverified.remove(earlier) || wasReported) {
+      unverified.add(later);
+      notYetProbed.add(later);
     }
   }
 
-  private void forgetGone() {
+  private void pruneDraining() {
     leaving.removeIf(this::isOver);
-    if (leaving.size() <= MOST_UNLISTED) {
-      // So it is with each reading but in a large fleet that is replaced.
+    if (leaving.size() <= MAX_UNLISTED) {
+      // The usual case; the limit is exceeded only while a large fleet is being replaced.
       return;
     }
     Set<HostIdentity> listed = new HashSet<>();
     listing.endpoints().forEach(endpoint -> listed.add(endpoint.identity()));
     List<HostIdentity> unlisted =
         leaving.stream().filter(endpoint -> !listed.contains(endpoint)).toList();
-    unlisted.stream().limit(Math.max(0, unlisted.size() - MOST_UNLISTED)).forEach(this::forget);
+    unlisted.stream().limit(Math.max(0, unlisted.size() - MAX_UNLISTED)).forEach(this::forget);
   }
 
   private void forget(HostIdentity endpoint) {
     leaving.remove(endpoint);
-    saidInAnswer.remove(endpoint);
+    reportedInAnswer.remove(endpoint);
   }
 
   private long newest(HostIdentity endpoint) {
     return newestIncarnations.getOrDefault(endpoint.host(), Long.MIN_VALUE);
   }
 
-  /** Returns the endpoints that may get new work. */
+  /** Returns the endpoints eligible for new work. */
   public List<Endpoint> open() {
     List<Endpoint> open = new ArrayList<>();
     for (Endpoint endpoint : listing.endpoints()) {
-      Endpoint newest = atItsNewestStart(endpoint);
-      if (!leaving.contains(newest.identity()) && !unclear.contains(newest.identity())) {
+      Endpoint newest = atNewestIncarnation(endpoint);
+      if (!leaving.contains(newest.identity()) && !unverified.contains(newest.identity())) {
         open.add(newest);
       }
     }
     return open;
   }
 
-  /** The list may still name an earlier life of an endpoint that has answered since. */
-  private Endpoint atItsNewestStart(Endpoint listed) {
+  /** Returns a listed endpoint at its newest known incarnation, since the list may lag behind. */
+  private Endpoint atNewestIncarnation(Endpoint listed) {
     return listed.at(Math.max(listed.incarnation(), newest(listed.identity())));
   }
 
-  /** Returns how many endpoints of the list are known to be leaving. */
+  /** Returns the number of listed endpoints known to be draining. */
   public int listedLeaving() {
     if (leaving.isEmpty()) {
       return 0;
     }
     return (int)
         listing.endpoints().stream()
-            .map(this::atItsNewestStart)
+            .map(this::atNewestIncarnation)
             .filter(endpoint -> leaving.contains(endpoint.identity()))
             .count();
   }
 
-  /** Returns the newest reading of the list. */
+  /** Returns the newest version of the list. */
   public HostListing listing() {
     return listing;
   }
 
-  /** Returns the incarnations known to be leaving. */
+  /** Returns the incarnations known to be draining. */
   public Set<HostIdentity> leaving() {
     return Set.copyOf(leaving);
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/EndpointState.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EndpointState.java
@@ -8,45 +8,47 @@
 import org.fawndrum.state.Endpoint;
 
 /**
- * What this host knows of one endpoint incarnation: its last load report and what this host has
- * sent since that the report cannot contain yet. Confined to one thread.
+ * This host's view of one endpoint incarnation: its last load report, and the attempts of this host
+ * sent since that the report cannot include yet. Confined to one thread.
  */
 public final class EndpointState {
-  /** Assumed speed of an engine that has not reported yet, in prompt tokens a second. */
+  /** Assumed speed of an engine before its first report, in prompt tokens per second. */
   public static final long ASSUMED_TOKENS_PER_SECOND = 20_000;
 
-  /** How long an endpoint rests after its first failure, in milliseconds; doubled with each. */
+  /**
+   * Backoff after the first failure of an endpoint, in milliseconds; doubled with each further one.
+   */
   private static final long FIRST_BACKOFF_MS = 500;
 
-  private static final int MOST_DOUBLINGS = 4;
-  private static final long LONGEST_BACKOFF_MS = 8_000;
+  private static final int MAX_DOUBLINGS = 4;
+  private static final long MAX_BACKOFF_MS = 8_000;
 
-  /** For how long an endpoint's own report goes before what peers tell, in milliseconds. */
-  private static final long OWN_REPORT_MS = 1_000;
+  /** How long an endpoint's own report takes precedence over peers' reports, in milliseconds. */
+  private static final long OWN_REPORT_PRECEDENCE_MS = 1_000;
 
   private static final double MS_PER_SECOND = 1000.0;
 
-  private final EndpointRests rests;
+  private final EndpointRests requestedBackoffs;
   private Endpoint endpoint;
   private LoadReport report;
   private long reportedAtMs;
-  private final Map<AttemptId, Sent> sent = new HashMap<>();
-  private final long[] unreported = new long[LoadReport.PRIORITIES];
+  private final Map<AttemptId, SentAttempt> sentAttempts = new HashMap<>();
+  private final long[] unreportedTokens = new long[LoadReport.PRIORITIES];
   private long unreportedMemory;
   private final CachedPrefixes prefixes;
-  private int failuresInRow;
-  private long avoidUntilMs;
+  private int consecutiveFailures;
+  private long failureBackoffEndMs;
   private EngineLoad load;
 
-  /** What one attempt adds to the endpoint's load. */
-  private static final class Sent {
+  /** The load that one attempt adds to the endpoint. */
+  private static final class SentAttempt {
     final int priority;
     final long promptTokens;
     final long memoryTokens;
     final long sentAtMs;
     boolean reported;
 
-    Sent(int priority, long promptTokens, long memoryTokens, long sentAtMs) {
+    SentAttempt(int priority, long promptTokens, long memoryTokens, long sentAtMs) {
       this.priority = priority;
       this.promptTokens = promptTokens;
       this.memoryTokens = memoryTokens;
@@ -54,9 +56,9 @@
     }
   }
 
-  EndpointState(Endpoint endpoint, int engines, EndpointRests rests) {
+  EndpointState(Endpoint endpoint, int engines, EndpointRests requestedBackoffs) {
     this.endpoint = endpoint;
-    this.rests = rests;
+    this.requestedBackoffs = requestedBackoffs;
     this.prefixes = new CachedPrefixes(engines);
     this.load = new EngineLoad(endpoint.engine().orElse(null));
   }
@@ -66,8 +68,8 @@
     return endpoint;
   }
 
-  /** Takes over a newer description; a changed engine profile begins a new, empty load. */
-  void describe(Endpoint newer) {
+  /** Updates the endpoint's description. A changed engine profile resets the load. */
+  void updateDescription(Endpoint newer) {
     boolean sameEngine = newer.engine().equals(endpoint.engine());
     endpoint = newer;
     if (!sameEngine) {
@@ -75,139 +77,142 @@
     }
   }
 
-  /** Returns how many attempts of this host are on the endpoint. */
+  /** Returns the number of this host's attempts in flight at the endpoint. */
   public int inFlight() {
-    return sent.size();
+    return sentAttempts.size();
   }
 
-  /** Returns the work there from all daemons, as far as is known. */
+  /** Returns the known work of all daemons at the endpoint. */
   public EngineLoad load() {
     return load;
   }
 
-  /** Returns the time that the endpoint needs at least to read a prompt, in milliseconds. */
-  long shortestReadMs(long promptTokens) {
+  /**
+   * Returns the minimum time to prefill a prompt, in milliseconds, with helper engines where the
+   * endpoint has an engine profile.
+   */
+  long minPrefillMs(long promptTokens) {
     return endpoint
         .engine()
         .map(profile -> (long) (profile.readMs(promptTokens) / EngineModelPlacement.MOST_ENGINES))
         .orElseGet(() -> (long) (promptTokens * MS_PER_SECOND / tokensPerSecond()));
   }
 
-  /** Returns what is known of the endpoint's prefix cache. */
+  /** Returns the estimated contents of the endpoint's prefix cache. */
   CachedPrefixes prefixes() {
     return prefixes;
   }
 
-  /** Takes a load report, unless a newer one is known. */
-  void reported(LoadReport newer, long nowMs) {
+  /** Applies a load report of the endpoint unless a newer one is known. */
+  void loadReported(LoadReport newer, long nowMs) {
     if (report == null || newer.sequence() > report.sequence()) {
-      take(newer, nowMs);
+      applyReport(newer, nowMs);
     }
   }
 
-  /** Takes a load that a peer told, unless the endpoint itself reported lately. */
-  void told(LoadReport load, long nowMs) {
-    if (report != null && nowMs - reportedAtMs < OWN_REPORT_MS) {
+  /** Applies a load reported by a peer, unless the endpoint itself reported recently. */
+  void peerLoadReported(LoadReport load, long nowMs) {
+    if (report != null && nowMs - reportedAtMs < OWN_REPORT_PRECEDENCE_MS) {
       return;
     }
     long sequence = report == null ? 0 : report.sequence();
     long speed = Math.max(load.tokensPerSecond(), 1);
-    take(
+    applyReport(
         new LoadReport(sequence, load.backlogTokens(), load.freeTokens(), load.streams(), speed),
         nowMs);
   }
 
-  private void take(LoadReport newer, long nowMs) {
+  private void applyReport(LoadReport newer, long nowMs) {
     long coversUntilMs = reportedAtMs;
     report = newer;
     reportedAtMs = nowMs;
-    for (Sent one : sent.values()) {
-      // A report may have been made before what was sent since the one before it had arrived.
-      if (one.sentAtMs <= coversUntilMs) {
-        countAsReported(one);
+    for (SentAttempt sentAttempt : sentAttempts.values()) {
+      // A report may predate the arrival of attempts sent since the report before it.
+      if (sentAttempt.sentAtMs <= coversUntilMs) {
+        countAsReported(sentAttempt);
       }
     }
   }
 
-  /** Takes note of an attempt that is sent now. */
-  void sending(AttemptId attempt, int priority, long promptTokens, long memory, long nowMs) {
-    sent.put(attempt, new Sent(priority, promptTokens, memory, nowMs));
-    unreported[priority] += promptTokens;
+  /** Adds an attempt that is being sent. */
+  void attemptSent(AttemptId attempt, int priority, long promptTokens, long memory, long nowMs) {
+    sentAttempts.put(attempt, new SentAttempt(priority, promptTokens, memory, nowMs));
+    unreportedTokens[priority] += promptTokens;
     unreportedMemory += memory;
   }
 
-  /** Takes note that an attempt has ended. */
-  void ended(AttemptId attempt) {
-    Sent one = sent.remove(attempt);
-    if (one != null) {
-      countAsReported(one);
+  /** Removes an attempt that has completed or failed. */
+  void attemptEnded(AttemptId attempt) {
+    SentAttempt sentAttempt = sentAttempts.remove(attempt);
+    if (sentAttempt != null) {
+      countAsReported(sentAttempt);
     }
   }
 
-  /** Takes note that an attempt's prompt has been read, so that it is no backlog any more. */
-  void promptRead(AttemptId attempt) {
-    Sent one = sent.get(attempt);
-    if (one != null) {
-      countAsReported(one);
+  /** Removes an attempt's prompt from the backlog once it is prefilled. */
+  void promptPrefilled(AttemptId attempt) {
+    SentAttempt sentAttempt = sentAttempts.get(attempt);
+    if (sentAttempt != null) {
+      countAsReported(sentAttempt);
     }
   }
 
-  /** Takes an attempt out of what no report contains yet; does nothing when called again. */
-  private void countAsReported(Sent one) {
-    if (!one.reported) {
-      one.reported = true;
-      unreported[one.priority] -= one.promptTokens;
-      unreportedMemory -= one.memoryTokens;
+  /** Removes an attempt from the load missing in reports. Idempotent. */
+  private void countAsReported(SentAttempt sentAttempt) {
+    if (!sentAttempt.reported) {
+      sentAttempt.reported = true;
+      unreportedTokens[sentAttempt.priority] -= sentAttempt.promptTokens;
+      unreportedMemory -= sentAttempt.memoryTokens;
     }
   }
 
-  /** Takes note of a failure of the endpoint, so that it rests for a while. */
-  void failed(long nowMs) {
-    failuresInRow++;
-    int doublings = Math.min(failuresInRow - 1, MOST_DOUBLINGS);
-    avoidUntilMs = nowMs + Math.min(LONGEST_BACKOFF_MS, FIRST_BACKOFF_MS << doublings);
+  /** Records a failure of the endpoint and starts its failure backoff. */
+  void recordFailure(long nowMs) {
+    consecutiveFailures++;
+    int doublings = Math.min(consecutiveFailures - 1, MAX_DOUBLINGS);
+    failureBackoffEndMs = nowMs + Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << doublings);
   }
 
-  /** Takes note of a whole answer, after which the endpoint need not rest. */
-  void answered() {
-    failuresInRow = 0;
-    avoidUntilMs = 0;
+  /** Records a whole answer, which resets the failure backoff. */
+  void recordSuccess() {
+    consecutiveFailures = 0;
+    failureBackoffEndMs = 0;
   }
 
-  /** Tells whether the endpoint failed so recently that it gets no new work. */
-  public boolean avoided(long nowMs) {
-    return nowMs < avoidUntilMs;
+  /** Whether the endpoint failed so recently that it receives no new work. */
+  public boolean inFailureBackoff(long nowMs) {
+    return nowMs < failureBackoffEndMs;
   }
 
-  /** Tells whether the endpoint wants nothing from this host now, as it asked. */
-  public boolean rests(long nowMs) {
-    return rests.lasts(endpoint.identity(), nowMs);
+  /** Whether the endpoint asked this host to send nothing now. */
+  public boolean inRequestedBackoff(long nowMs) {
+    return requestedBackoffs.lasts(endpoint.identity(), nowMs);
   }
 
-  /** Returns the end of the endpoint's rest, which may be over. */
-  long restEndMs() {
-    return rests.endMs(endpoint.identity());
+  /** Returns the end of the backoff requested by the endpoint, which may have passed. */
+  long requestedBackoffEndMs() {
+    return requestedBackoffs.endMs(endpoint.identity());
   }
 
-  /** Returns the engine's reading speed in prompt tokens a second. */
+  /** Returns the engine's prefill speed in prompt tokens per second. */
   public long tokensPerSecond() {
     return report == null ? ASSUMED_TOKENS_PER_SECOND : Math.max(1, report.tokensPerSecond());
   }
 
-  /** Returns the prompt tokens that wait at a priority or above it, as well as is known. */
+  /** Returns the estimated number of waiting prompt tokens at a priority or above it. */
   public long backlogFrom(int priority, long nowMs) {
-    long own = 0;
-    for (int p = priority; p < unreported.length; p++) {
-      own += unreported[p];
+    long unreportedBacklog = 0;
+    for (int p = priority; p < unreportedTokens.length; p++) {
+      unreportedBacklog += unreportedTokens[p];
     }
     if (report == null) {
-      return own;
+      return unreportedBacklog;
     }
     long worked = (long) ((nowMs - reportedAtMs) / MS_PER_SECOND * tokensPerSecond());
-    return own + Math.max(0, report.backlogFrom(priority) - worked);
+    return unreportedBacklog + Math.max(0, report.backlogFrom(priority) - worked);
   }
 
-  /** Returns the cache memory that is free, as well as is known, in tokens. */
+  /** Returns the estimated free cache memory, in tokens. */
   public long freeTokens() {
     long free = report == null ? endpoint.memoryTokens() : report.freeTokens();
     return free - unreportedMemory;
--- a/org.fawndrum/src/org/fawndrum/coordination/EngineWork.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EngineWork.java
@@ -19,113 +19,115 @@
 import org.fawndrum.state.RequestAims;
 
 /**
- * Keeps what every endpoint has to do: this host's own work, which it announces, and the work that
- * other daemons announced. Work at endpoints that are not known counts at none of them; news about
- * work that is not known change nothing. Confined to one thread; times are those of the host's
- * clock, in milliseconds.
+ * Tracks the work at every endpoint: this host's own work, which it broadcasts, and the work
+ * broadcast by other daemons. Work at unknown endpoints is not counted, and updates about unknown
+ * work have no effect. Confined to one thread; times are those of the host's clock, in
+ * milliseconds.
  */
 final class EngineWork {
-  /** The bits of a job's id below those that tell the daemons apart. */
+  /** Number of low bits of a job id that count; the bits above them identify the daemon. */
   private static final int COUNT_BITS = 32;
 
-  private final EndpointBook endpoints;
-  private final List<Action> out;
-  private final Map<Long, EngineJob> own = new HashMap<>();
-  private final Set<Long> ownRead = new HashSet<>();
-  private final Map<HostIdentity, Map<Long, EngineJob>> others = new HashMap<>();
+  private final EndpointRegistry endpoints;
+  private final List<Action> actions;
+  private final Map<Long, EngineJob> ownJobs = new HashMap<>();
+  private final Set<Long> prefilledJobs = new HashSet<>();
+  private final Map<HostIdentity, Map<Long, EngineJob>> jobsByPeer = new HashMap<>();
   private long nextId;
 
-  EngineWork(HostIdentity self, EndpointBook endpoints, List<Action> out) {
+  EngineWork(HostIdentity self, EndpointRegistry endpoints, List<Action> actions) {
     this.endpoints = endpoints;
-    this.out = out;
+    this.actions = actions;
     this.nextId = (long) self.hashCode() << COUNT_BITS;
   }
 
-  /** Takes note of an attempt that is sent now, with a job at each engine that takes part. */
-  void placed(
-      LiveRequest.Attempt attempt, RequestFacts facts, Placement.Choice choice, long nowMs) {
-    int parts = 1 + choice.helpers().size();
+  /** Records an attempt that is sent now, with one job at each participating engine. */
+  void attemptPlaced(
+      OpenRequest.Attempt attempt, RequestFacts facts, Placement.Choice choice, long nowMs) {
+    int engines = 1 + choice.helpers().size();
     long elsewhere = choice.helpers().stream().mapToLong(Placement.Helper::memoryTokens).sum();
     long memory = facts.promptTokens() == 0 ? 0 : facts.workTokens() - elsewhere;
-    add(attempt, job(choice.state(), facts, memory, parts, true, nowMs), nowMs);
+    add(attempt, job(choice.state(), facts, memory, engines, true, nowMs), nowMs);
     for (Placement.Helper helper : choice.helpers()) {
-      EngineJob job = job(helper.state(), facts, helper.memoryTokens(), parts, false, nowMs);
+      EngineJob job = job(helper.state(), facts, helper.memoryTokens(), engines, false, nowMs);
       add(attempt, job, nowMs);
     }
   }
 
   private EngineJob job(
-      EndpointState at, RequestFacts facts, long memory, int parts, boolean writes, long nowMs) {
+      EndpointState at, RequestFacts facts, long memory, int engines, boolean decodes, long nowMs) {
     HostIdentity endpoint = at.endpoint().identity();
     RequestAims aims = facts.aims().after(nowMs - facts.arrivedMs());
     return new EngineJob(
-        nextId++, endpoint, facts.promptTokens(), memory, parts, writes, aims, nowMs);
+        nextId++, endpoint, facts.promptTokens(), memory, engines, decodes, aims, nowMs);
   }
 
-  private void add(LiveRequest.Attempt attempt, EngineJob job, long nowMs) {
-    attempt.jobs.add(job.id());
-    own.put(job.id(), job);
-    onLoad(job, load -> load.add(job, nowMs));
-    announce(job, new EngineNews.Placed(job));
+  private void add(OpenRequest.Attempt attempt, EngineJob job, long nowMs) {
+    attempt.jobIds.add(job.id());
+    ownJobs.put(job.id(), job);
+    updateLoad(job, load -> load.add(job, nowMs));
+    broadcast(job, new EngineNews.Placed(job));
   }
 
-  /** Takes note that the prompt of an attempt has been read. */
-  void read(LiveRequest.Attempt attempt, long nowMs) {
-    for (long id : attempt.jobs) {
-      EngineJob job = own.get(id);
-      if (job != null && ownRead.add(id)) {
-        onLoad(job, load -> load.read(id, nowMs));
-        announce(job, new EngineNews.Read(id));
+  /** Records that the prompt of an attempt has been prefilled. */
+  void prefilled(OpenRequest.Attempt attempt, long nowMs) {
+    for (long id : attempt.jobIds) {
+      EngineJob job = ownJobs.get(id);
+      if (job != null && prefilledJobs.add(id)) {
+        updateLoad(job, load -> load.read(id, nowMs));
+        broadcast(job, new EngineNews.Read(id));
       }
     }
   }
 
   /**
-   * Takes note that an attempt ended.
+   * Records the end of an attempt.
    *
    * @param failed whether its endpoint seems to be the cause
    */
-  void ended(LiveRequest.Attempt attempt, boolean failed, long nowMs) {
-    for (long id : attempt.jobs) {
-      EngineJob job = own.remove(id);
-      ownRead.remove(id);
+  void attemptEnded(OpenRequest.Attempt attempt, boolean failed, long nowMs) {
+    for (long id : attempt.jobIds) {
+      EngineJob job = ownJobs.remove(id);
+      prefilledJobs.remove(id);
       if (job != null) {
-        onLoad(job, load -> load.ended(id, nowMs));
+        updateLoad(job, load -> load.ended(id, nowMs));
         boolean atFault =
-            attempt.helperAtFault == null
+            attempt.failedHelper == null
                 ? failed && job.writes()
-                : job.endpoint().equals(attempt.helperAtFault);
-        announce(job, new EngineNews.Ended(id, atFault));
+                : job.endpoint().equals(attempt.failedHelper);
+        broadcast(job, new EngineNews.Ended(id, atFault));
       }
     }
   }
 
-  private void announce(EngineJob job, EngineNews news) {
+  private void broadcast(EngineJob job, EngineNews update) {
     EndpointState state = endpoints.state(job.endpoint());
     boolean engine = state != null && state.endpoint().kind() == EndpointKind.MODEL;
-    out.add(new Action.Announce(news, engine ? state.endpoint().zone() : FleetReport.EVERYWHERE));
+    actions.add(
+        new Action.Announce(update, engine ? state.endpoint().zone() : FleetReport.EVERYWHERE));
   }
 
-  /** Changes the load of a job's endpoint, if the endpoint is known. */
-  private void onLoad(EngineJob job, Consumer<EngineLoad> change) {
-    endpoints.ifKnown(job.endpoint(), state -> change.accept(state.load()));
+  /** Changes the load of a job's endpoint, if the endpoint is registered. */
+  private void updateLoad(EngineJob job, Consumer<EngineLoad> change) {
+    endpoints.ifPresent(job.endpoint(), state -> change.accept(state.load()));
   }
 
   /**
-   * Tells whether an attempt hangs on one of some starts of endpoints: one that writes its answer,
-   * holds memory for it, or still reads a part of its prompt. An answer that has begun hangs on the
-   * start that gives it, which may be a later one than was known when it was sent: if that one is
-   * over, its connection breaks or falls silent.
+   * Whether an attempt depends on one of the given endpoint incarnations: one that generates its
+   * answer, holds memory for it, or has not finished prefilling its prompt segment. Once an answer
+   * has begun, its endpoint's incarnation is not a reason: the answer may come from a later
+   * incarnation than the one known when the attempt was sent. If that one terminates, the
+   * connection breaks or stalls.
    */
-  boolean hangsOn(LiveRequest.Attempt attempt, Predicate<HostIdentity> starts) {
-    HostIdentity first = attempt.endpoint.endpoint().identity();
-    if (attempt.state == AttemptState.RUNNING && starts.test(first)) {
+  boolean dependsOn(OpenRequest.Attempt attempt, Predicate<HostIdentity> incarnations) {
+    HostIdentity endpoint = attempt.endpoint.endpoint().identity();
+    if (attempt.state == AttemptState.RUNNING && incarnations.test(endpoint)) {
       return false;
     }
-    for (long id : attempt.jobs) {
-      EngineJob job = own.get(id);
-      if (job != null && starts.test(job.endpoint())) {
-        boolean stillNeeded = job.writes() || job.memoryTokens() > 0 || !ownRead.contains(id);
+    for (long id : attempt.jobIds) {
+      EngineJob job = ownJobs.get(id);
+      if (job != null && incarnations.test(job.endpoint())) {
+        boolean stillNeeded = job.writes() || job.memoryTokens() > 0 || !prefilledJobs.contains(id);
         if (stillNeeded) {
           return true;
         }
@@ -134,58 +136,58 @@
     return false;
   }
 
-  /** Returns this host's work as news that tell all of it. */
-  List<EngineNews> all() {
-    List<EngineNews> all = new ArrayList<>();
-    for (EngineJob job : own.values()) {
-      all.add(new EngineNews.Placed(job));
-      if (ownRead.contains(job.id())) {
-        all.add(new EngineNews.Read(job.id()));
+  /** Returns updates that describe all work of this host. */
+  List<EngineNews> allUpdates() {
+    List<EngineNews> updates = new ArrayList<>();
+    for (EngineJob job : ownJobs.values()) {
+      updates.add(new EngineNews.Placed(job));
+      if (prefilledJobs.contains(job.id())) {
+        updates.add(new EngineNews.Read(job.id()));
       }
     }
-    return all;
+    return updates;
   }
 
-  /** Takes news of another daemon; {@code all} when they name all of its work. */
-  void heard(HostIdentity from, List<EngineNews> news, boolean all, long nowMs) {
+  /** Applies updates of another daemon. If {@code all} is set they contain all of its work. */
+  void applyUpdate(HostIdentity from, List<EngineNews> updates, boolean all, long nowMs) {
     if (all) {
-      heardAll(from, news, nowMs);
+      replaceAll(from, updates, nowMs);
     } else {
-      news.forEach(one -> heard(from, one, nowMs));
+      updates.forEach(update -> applyUpdate(from, update, nowMs));
     }
   }
 
-  /** Takes one piece of news of another daemon. */
-  void heard(HostIdentity from, EngineNews news, long nowMs) {
+  /** Applies one update of another daemon. */
+  void applyUpdate(HostIdentity from, EngineNews update, long nowMs) {
     Map<Long, EngineJob> jobs = jobsOf(from);
-    if (news instanceof EngineNews.Placed placed) {
+    if (update instanceof EngineNews.Placed placed) {
       EngineJob job = placed.job();
       EndpointState state = endpoints.state(job.endpoint());
       if (state != null) {
-        // Also what was heard before: an endpoint that was missing for a while begins without work.
+        // Also for a known job: an endpoint that reappears in the list starts without its load.
         jobs.putIfAbsent(job.id(), job);
         state.load().add(job, nowMs);
       }
-    } else if (news instanceof EngineNews.Read read) {
+    } else if (update instanceof EngineNews.Read read) {
       EngineJob job = jobs.get(read.id());
       if (job != null) {
-        onLoad(job, load -> load.read(job.id(), nowMs));
+        updateLoad(job, load -> load.read(job.id(), nowMs));
       }
-    } else if (news instanceof EngineNews.Ended ended) {
-      heardEnded(jobs.remove(ended.id()), ended.failed(), nowMs);
+    } else if (update instanceof EngineNews.Ended ended) {
+      removeJob(jobs.remove(ended.id()), ended.failed(), nowMs);
     }
   }
 
   private Map<Long, EngineJob> jobsOf(HostIdentity daemon) {
-    return others.computeIfAbsent(daemon, key -> new HashMap<>());
+    return jobsByPeer.computeIfAbsent(daemon, key -> new HashMap<>());
   }
 
-  /** Lets an endpoint rest for a while. */
-  void failed(HostIdentity endpoint, long nowMs) {
-    endpoints.ifKnown(endpoint, state -> state.failed(nowMs));
+  /** Starts the failure backoff of an endpoint. */
+  void endpointFailed(HostIdentity endpoint, long nowMs) {
+    endpoints.ifPresent(endpoint, state -> state.recordFailure(nowMs));
   }
 
-  private void heardEnded(EngineJob job, boolean failed, long nowMs) {
+  private void removeJob(EngineJob job, boolean failed, long nowMs) {
     if (job == null) {
       return;
     }
@@ -195,32 +197,32 @@
     }
     state.load().ended(job.id(), nowMs);
     if (failed) {
-      state.failed(nowMs);
+      state.recordFailure(nowMs);
     }
   }
 
-  /** Takes all the work of another daemon; what it does not name has ended. */
-  void heardAll(HostIdentity from, Collection<EngineNews> all, long nowMs) {
-    Set<Long> named = new HashSet<>();
-    for (EngineNews news : all) {
-      if (news instanceof EngineNews.Placed placed) {
-        named.add(placed.job().id());
+  /** Replaces all work of another daemon. Jobs that are missing in the updates have ended. */
+  void replaceAll(HostIdentity from, Collection<EngineNews> updates, long nowMs) {
+    Set<Long> namedIds = new HashSet<>();
+    for (EngineNews update : updates) {
+      if (update instanceof EngineNews.Placed placed) {
+        namedIds.add(placed.job().id());
       }
     }
     Map<Long, EngineJob> jobs = jobsOf(from);
     for (EngineJob job : List.copyOf(jobs.values())) {
-      if (!named.contains(job.id())) {
-        heardEnded(jobs.remove(job.id()), false, nowMs);
+      if (!namedIds.contains(job.id())) {
+        removeJob(jobs.remove(job.id()), false, nowMs);
       }
     }
-    all.forEach(news -> heard(from, news, nowMs));
+    updates.forEach(update -> applyUpdate(from, update, nowMs));
   }
 
-  /** Takes note that another daemon is gone, and its work with it. */
-  void gone(HostIdentity daemon, long nowMs) {
-    Map<Long, EngineJob> jobs = others.remove(daemon);
+  /** Records that another daemon is gone and removes its work. */
+  void daemonRemoved(HostIdentity daemon, long nowMs) {
+    Map<Long, EngineJob> jobs = jobsByPeer.remove(daemon);
     if (jobs != null) {
-      jobs.values().forEach(job -> heardEnded(job, false, nowMs));
+      jobs.values().forEach(job -> removeJob(job, false, nowMs));
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/ExpectedFinishPlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/ExpectedFinishPlacement.java
@@ -7,37 +7,38 @@
 import org.fawndrum.state.EndpointKind;
 
 /**
- * The endpoint with the earliest expected first token, from its lagging load report and what this
- * host sent since. A cached prefix counts as work saved, so affinity gives way by itself when it
- * would make a queue. Model requests wait here rather than in an engine's queue when every engine
- * has work for longer than the horizon, so that the order between caller groups is kept here.
- * Confined to one thread.
+ * Chooses the endpoint with the earliest expected first token, from its last load report and what
+ * this host sent since. A cached prefix reduces the expected prefill time, so cache affinity yields
+ * when it would cause queueing. Model requests wait on this host, not in an engine's queue, when
+ * the backlog of every engine exceeds the horizon, so that this host controls the order between
+ * caller groups. Confined to one thread.
  */
 public final class ExpectedFinishPlacement implements Placement {
-  /** Tokens of one block of a prompt that prefixes are counted in. */
+  /** Size of the prompt blocks that prefix hashes cover, in tokens. */
   public static final long BLOCK_TOKENS = 256;
 
-  private static final int SHOWN = 3;
-  private static final int SAMPLE = 48;
+  private static final int MAX_PASSED_OVER = 3;
+  private static final int MAX_SAMPLE = 48;
   private static final double MS_PER_SECOND = 1000.0;
 
   private final Settings settings;
-  private int next;
+  private int nextStart;
 
   /**
-   * The weights of this policy.
+   * Parameters of the placement.
    *
-   * @param horizonMs the longest backlog at its priority that a request joins, in milliseconds
-   * @param otherZoneMs what an endpoint in another zone must be faster by, in milliseconds
-   * @param shortReserve part of an engine's memory that long prompts leave free, 0 to 1
-   * @param longTokens the prompt length from which the reserve applies
+   * @param horizonMs the maximum backlog of an engine, at the request's priority, at which it is
+   *     still used, in milliseconds
+   * @param otherZoneMs the penalty of an endpoint in another zone, in milliseconds
+   * @param shortReserve the fraction of an engine's memory that long prompts leave free, 0 to 1
+   * @param longTokens the prompt length from which the reserve applies, in tokens
    */
   public record Settings(long horizonMs, long otherZoneMs, double shortReserve, long longTokens) {
-    /** Weights that suit a mix of short and long prompts. */
+    /** Parameters for a mix of short and long prompts. */
     public static final Settings DEFAULT = new Settings(250, 5, 0.1, 32_768);
   }
 
-  /** Makes the policy with its weights. */
+  /** Creates the placement. */
   public ExpectedFinishPlacement(Settings settings) {
     this.settings = settings;
   }
@@ -46,13 +47,13 @@
   public Optional<Choice> choose(Query query) {
     List<EndpointState> candidates = query.candidates();
     boolean model = query.facts().target().kind() == EndpointKind.MODEL;
-    int look = Math.min(candidates.size(), SAMPLE);
-    int start = next;
-    // A large fleet is looked at in windows that move on, so that a decision's cost stays bounded.
-    next = candidates.isEmpty() ? 0 : (next + look) % candidates.size();
+    int sampled = Math.min(candidates.size(), MAX_SAMPLE);
+    int start = nextStart;
+    // Examines a large fleet in rotating windows to bound the cost of one decision.
+    nextStart = candidates.isEmpty() ? 0 : (nextStart + sampled) % candidates.size();
     EndpointState best = null;
     long bestMs = Long.MAX_VALUE;
-    for (int i = 0; i < look; i++) {
+    for (int i = 0; i < sampled; i++) {
       EndpointState state = candidates.get((start + i) % candidates.size());
       if (!query.usable(state) || model && !hasMemory(state, query)) {
         continue;
@@ -61,7 +62,7 @@
       if (backlogMs > settings.horizonMs()) {
         continue;
       }
-      long expectedMs = model ? backlogMs + readMs(state, query) : plainMs(state, query);
+      long expectedMs = model ? backlogMs + prefillMs(state, query) : plainMs(state, query);
       if (expectedMs < bestMs) {
         best = state;
         bestMs = expectedMs;
@@ -70,18 +71,18 @@
     if (best == null) {
       return Optional.empty();
     }
-    boolean cached = model && best.prefixes().match(query.facts().prefixes()) > 0;
+    boolean cached = model && best.prefixes().matchingBlocks(query.facts().prefixes()) > 0;
     Reason reason = cached ? Reason.CACHED_PREFIX : Reason.EARLIEST_FIRST_TOKEN;
-    return Optional.of(new Choice(best, reason, passedOver(query, best, start, look, model)));
+    return Optional.of(new Choice(best, reason, passedOver(query, best, start, sampled, model)));
   }
 
   private boolean hasMemory(EndpointState state, Query query) {
     RequestFacts facts = query.facts();
-    long kept =
+    long reserved =
         facts.promptTokens() >= settings.longTokens()
             ? (long) (settings.shortReserve() * state.endpoint().memoryTokens())
             : 0;
-    return state.freeTokens() - kept >= facts.workTokens();
+    return state.freeTokens() - reserved >= facts.workTokens();
   }
 
   private static long backlogMs(EndpointState state, Query query) {
@@ -89,8 +90,8 @@
     return (long) (backlog * MS_PER_SECOND / state.tokensPerSecond());
   }
 
-  private long readMs(EndpointState state, Query query) {
-    long cached = state.prefixes().match(query.facts().prefixes()) * BLOCK_TOKENS;
+  private long prefillMs(EndpointState state, Query query) {
+    long cached = state.prefixes().matchingBlocks(query.facts().prefixes()) * BLOCK_TOKENS;
     long toRead = Math.max(1, query.facts().promptTokens() - cached);
     return (long) (toRead * MS_PER_SECOND / state.tokensPerSecond()) + zoneMs(state, query);
   }
@@ -104,16 +105,16 @@
   }
 
   private List<PassedOver> passedOver(
-      Query query, EndpointState best, int start, int look, boolean model) {
-    List<PassedOver> shown = new ArrayList<>(SHOWN);
-    for (int i = 0; i < look && shown.size() < SHOWN; i++) {
+      Query query, EndpointState best, int start, int sampled, boolean model) {
+    List<PassedOver> passedOver = new ArrayList<>(MAX_PASSED_OVER);
+    for (int i = 0; i < sampled && passedOver.size() < MAX_PASSED_OVER; i++) {
       EndpointState state = query.candidates().get((start + i) % query.candidates().size());
       if (state != best) {
         long expectedMs =
-            model ? backlogMs(state, query) + readMs(state, query) : plainMs(state, query);
-        shown.add(new PassedOver(state.endpoint().name(), expectedMs));
+            model ? backlogMs(state, query) + prefillMs(state, query) : plainMs(state, query);
+        passedOver.add(new PassedOver(state.endpoint().name(), expectedMs));
       }
     }
-    return List.copyOf(shown);
+    return List.copyOf(passedOver);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/FirstComeOrder.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/FirstComeOrder.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.coordination;
 
-/** The plain baseline: the request that arrived first. */
+/** First come, first served. Simple baseline. */
 public final class FirstComeOrder implements QueueOrder {
   @Override
-  public double place(RequestFacts request, long weight, boolean isShort) {
+  public double sortKey(RequestFacts request, long weight, boolean isShort) {
     return request.arrivedMs();
   }
 
@@ -15,7 +15,7 @@
   public void backlogged(RequestFacts first) {}
 
   @Override
-  public boolean overShare(RequestFacts request) {
+  public boolean isOverShare(RequestFacts request) {
     return false;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/GroupUsages.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/GroupUsages.java
@@ -7,38 +7,36 @@
 import org.fawndrum.state.Row;
 import org.fawndrum.state.TableRevision;
 
-/** What each caller group uses of its limits on this host. Confined to one thread. */
+/** Usage of all caller groups against their limits on this host. Confined to one thread. */
 final class GroupUsages {
   private final Map<CallerGroup, GroupUsage> usages = new HashMap<>();
-  private double part = 1.0;
+  private double limitFraction = 1.0;
 
-  /**
-   * Returns the usage of a group; it begins now, with the limits of its row, if there is none yet.
-   */
-  GroupUsage begin(CallerGroup group, Row row, long nowMs) {
-    return usages.computeIfAbsent(group, key -> new GroupUsage(row, part, nowMs));
+  /** Returns the usage of a group. Creates it with the limits of the given row if there is none. */
+  GroupUsage getOrCreate(CallerGroup group, Row row, long nowMs) {
+    return usages.computeIfAbsent(group, key -> new GroupUsage(row, limitFraction, nowMs));
   }
 
-  /** Returns the usage of the group of a request that was admitted. */
-  GroupUsage of(LiveRequest request) {
+  /** Returns the usage of the caller group of an admitted request. */
+  GroupUsage of(OpenRequest request) {
     return usages.get(request.facts.group());
   }
 
-  /** Takes note that a request begins or ends to wait for an endpoint. */
-  void waits(LiveRequest request, boolean begins) {
-    request.waiting = begins;
-    of(request).waiting += begins ? 1 : -1;
+  /** Sets whether a request waits for an endpoint. */
+  void setWaiting(OpenRequest request, boolean isWaiting) {
+    request.waiting = isWaiting;
+    of(request).waiting += isWaiting ? 1 : -1;
   }
 
-  /** Takes over the limits of a newer table. */
-  void table(TableRevision newer, long nowMs) {
+  /** Applies the limits of a newer table. */
+  void updateTable(TableRevision newer, long nowMs) {
     usages.forEach(
-        (group, usage) -> usage.update(newer.row(group).orElse(usage.row()), part, nowMs));
+        (group, usage) -> usage.update(newer.row(group).orElse(usage.row()), limitFraction, nowMs));
   }
 
-  /** Takes over this host's part of the limits, above 0 and at most 1. */
-  void limitPart(double newPart, long nowMs) {
-    part = newPart;
-    usages.values().forEach(usage -> usage.update(usage.row(), newPart, nowMs));
+  /** Applies this host's fraction of the limits, above 0 and at most 1. */
+  void updateLimitFraction(double newFraction, long nowMs) {
+    limitFraction = newFraction;
+    usages.values().forEach(usage -> usage.update(usage.row(), newFraction, nowMs));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/LeastInFlightPlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/LeastInFlightPlacement.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The second baseline: the endpoint with the fewest requests of this host. */
+/** Chooses the endpoint with the fewest requests of this host in flight. Baseline. */
 public final class LeastInFlightPlacement implements Placement {
   private int next;
 
@@ -12,7 +12,7 @@
   public Optional<Choice> choose(Query query) {
     List<EndpointState> candidates = query.candidates();
     EndpointState best = null;
-    // Ties go round, so that an idle fleet is not served by its first endpoint alone.
+    // Rotates the start so that ties are not always resolved to the same endpoint.
     next++;
     for (int i = 0; i < candidates.size(); i++) {
       EndpointState state = candidates.get(Math.floorMod(next + i, candidates.size()));
--- a/org.fawndrum/src/org/fawndrum/coordination/LimitParts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/LimitParts.java
@@ -8,17 +8,17 @@
 import org.fawndrum.state.HostListing;
 
 /**
- * The part of the table's limits that one host enforces: the limits are shared out evenly first
- * between zones, then between the entry hosts of a zone, so that a cut zone goes on within its part
- * and all parts of one listing add up to the whole. The parts do not follow demand.
+ * Computes the fraction of the table's limits that one host enforces. The limits are divided evenly
+ * between zones, then between the entry hosts of each zone. A partitioned zone stays within its
+ * fraction, and the fractions computed from one listing add up to 1. Demand is not considered.
  */
 public final class LimitParts {
   private LimitParts() {}
 
   /**
-   * Returns a host's part by a listing.
+   * Returns a host's fraction of the limits.
    *
-   * @param self the host, which counts whether the list knows it yet or not
+   * @param self the host, which is counted even if the listing does not contain it yet
    * @param zone its availability zone
    */
   public static double part(HostIdentity self, String zone, HostListing listing) {
--- a/org.fawndrum/src/org/fawndrum/coordination/LoadReport.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/LoadReport.java
@@ -2,17 +2,17 @@
 package org.fawndrum.coordination;
 
 /**
- * What an endpoint last said of its load; it lags behind.
+ * An endpoint's last report of its load, which lags behind.
  *
- * @param sequence grows with each report of one incarnation
- * @param backlogTokens prompt tokens not yet read, for each priority from 0 to 9
- * @param freeTokens cache memory that no stream holds, in tokens
- * @param streams streams running or waiting
- * @param tokensPerSecond prompt tokens that the engine reads a second when nothing else runs
+ * @param sequence the sequence number, which grows with each report of one incarnation
+ * @param backlogTokens prompt tokens not yet prefilled, for each priority from 0 to 9
+ * @param freeTokens cache memory not held by any stream, in tokens
+ * @param streams the number of streams running or waiting
+ * @param tokensPerSecond the engine's prefill speed without other work, in prompt tokens per second
  */
 public record LoadReport(
     long sequence, long[] backlogTokens, long freeTokens, int streams, long tokensPerSecond) {
-  /** The number of priorities. */
+  /** Number of priorities. */
   public static final int PRIORITIES = 10;
 
   /** Returns the prompt tokens waiting at a priority or above it. */
--- a/org.fawndrum/src/org/fawndrum/coordination/LogReplay.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/LogReplay.java
@@ -9,33 +9,33 @@
 import org.fawndrum.state.TableRevision;
 
 /**
- * Follows the log from wherever it can. While no record is missing, each is replayed as it comes.
- * When the log has forgotten records that were not replayed yet, records are held until a snapshot
- * covers the gap, from the log or from a peer. Confined to one thread.
+ * Replays the log from any starting point. Without a gap, each record is applied as it arrives. If
+ * records were deleted from the log before they were replayed, later records are buffered until a
+ * snapshot, from the log or a peer, covers the gap. Confined to one thread.
  */
 public final class LogReplay {
   private TableRevision table = TableRevision.EMPTY;
-  private final List<Entry> held = new ArrayList<>();
+  private final List<Entry> buffered = new ArrayList<>();
   private long next;
-  private boolean gap;
+  private boolean inGap;
   private long lastSnapshot = -1;
 
-  /** What a record of the log means to the table. */
+  /** A record of the log, as it affects the table. */
   public sealed interface Entry {
-    /** The record's offset. */
+    /** Returns the record's offset. */
     long offset();
 
-    /** Changed cells. */
+    /** A publication of changed cells. */
     record Published(long offset, Publication publication) implements Entry {}
 
-    /** A whole table as it was at an earlier position. */
+    /** A whole table as of an earlier position. */
     record Snapshot(long offset, TableRevision table) implements Entry {}
 
-    /** Anything that does not concern the table. */
+    /** A record that does not affect the table. */
     record Other(long offset) implements Entry {}
   }
 
-  /** Returns the table as far as it could be replayed. */
+  /** Returns the table as far as it has been replayed. */
   public TableRevision table() {
     return table;
   }
@@ -45,31 +45,31 @@
     return next;
   }
 
-  /** Tells whether records are missing, so that a snapshot is awaited. */
+  /** Whether records are missing and a snapshot is needed. */
   public boolean inGap() {
-    return gap;
+    return inGap;
   }
 
-  /** Returns how many records were replayed since the newest snapshot in the log. */
+  /** Returns the number of records replayed since the newest snapshot in the log. */
   public long sinceSnapshot() {
     return table.position() - lastSnapshot;
   }
 
-  /** Returns the position of the newest snapshot seen in the log, -1 for none. */
+  /** Returns the position of the newest snapshot read from the log, or -1 if there is none. */
   public long lastSnapshot() {
     return lastSnapshot;
   }
 
-  /** Takes note that the log begins at {@code first}: what was before cannot be read any more. */
+  /** Records that the log begins at {@code first} and earlier records can no longer be read. */
   public void logBegins(long first) {
     if (first > next) {
-      gap = gap || first > table.position() + 1;
+      inGap = inGap || first > table.position() + 1;
       next = first;
-      held.clear();
+      buffered.clear();
     }
   }
 
-  /** Takes the record at {@link #next}. Others are passed over. */
+  /** Replays the record at {@link #next}. Ignores records at other offsets. */
   public void record(Entry entry) {
     if (entry.offset() != next) {
       return;
@@ -78,11 +78,11 @@
     if (entry instanceof Entry.Snapshot snapshot) {
       lastSnapshot = Math.max(lastSnapshot, snapshot.table().position());
     }
-    if (!gap) {
+    if (!inGap) {
       apply(entry);
       return;
     }
-    held.add(entry);
+    buffered.add(entry);
     if (entry instanceof Entry.Snapshot snapshot) {
       adopt(snapshot.table());
     }
@@ -97,34 +97,37 @@
   }
 
   /**
-   * Takes a whole table, from a snapshot or from a peer. Taken only when it is newer than the one
-   * known and the records after it can be replayed.
+   * Adopts a whole table from a snapshot or a peer, if it is newer than the current one. In a gap,
+   * later records are replayed on it only if it covers the gap.
    *
-   * @return the table after taking it, if it was taken
+   * @return the table after adoption, or empty if the given one is not newer
    */
-  public Optional<TableRevision> adopt(TableRevision whole) {
-    if (whole.position() <= table.position()) {
+  public Optional<TableRevision> adopt(TableRevision snapshot) {
+    if (snapshot.position() <= table.position()) {
       return Optional.empty();
     }
-    long firstHeld = held.isEmpty() ? next : held.get(0).offset();
-    if (gap && whole.position() + 1 < firstHeld) {
-      return adoptBehindGap(whole);
+    long firstBuffered = buffered.isEmpty() ? next : buffered.get(0).offset();
+    if (inGap && snapshot.position() + 1 < firstBuffered) {
+      return adoptBehindGap(snapshot);
     }
-    table = whole;
-    gap = false;
-    for (Entry entry : held) {
-      if (entry.offset() > whole.position()) {
+    table = snapshot;
+    inGap = false;
+    for (Entry entry : buffered) {
+      if (entry.offset() > snapshot.position()) {
         apply(entry);
       }
     }
-    held.clear();
+    buffered.clear();
     next = Math.max(next, table.position() + 1);
     return Optional.of(table);
   }
 
-  /** A newer table is better than an older one, even while records between it and now miss. */
-  private Optional<TableRevision> adoptBehindGap(TableRevision whole) {
-    table = whole;
+  /**
+   * Adopts a table that does not cover the gap: a newer table is better than an older one even if
+   * records after it are missing.
+   */
+  private Optional<TableRevision> adoptBehindGap(TableRevision snapshot) {
+    table = snapshot;
     return Optional.of(table);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/LostAttempts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/LostAttempts.java
@@ -10,68 +10,80 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * Attempts whose connections broke while nothing showed that their endpoints had ended. The port of
- * an endpoint that ends may take connections for a moment longer, and one that is soon back takes
- * them again; what is heard of the same start later tells what it was. Confined to the
- * coordinator's thread; times are those of the host's clock, in milliseconds.
+ * Attempts whose connection broke without evidence of a crash of their endpoint. The port of a
+ * terminating endpoint may accept connections a moment longer, and that of a quickly restarted one
+ * accepts them again; later information about the incarnation shows whether it crashed. Confined to
+ * the coordinator's thread; times are those of the host's clock, in milliseconds.
  */
 final class LostAttempts {
-  /** For how long a later start of the endpoint says that the earlier one had ended then. */
-  private static final long KEEP_MS = 10_000;
+  /**
+   * How long a broken connection is attributed to the termination of its incarnation if a later
+   * incarnation is discovered, in milliseconds.
+   */
+  private static final long RETENTION_MS = 10_000;
 
-  /** How far apart an end and a connection that broke with it are seen at most. */
-  private static final long SAME_END_MS = 1_000;
+  /**
+   * Maximum difference between the observed times of a termination and of a connection that it
+   * broke, in milliseconds.
+   */
+  private static final long SAME_TERMINATION_MS = 1_000;
 
-  /** The attempts that are kept at most: what a host loses when a whole rack of engines ends. */
-  private static final int MOST = 256;
+  /** Maximum number of attempts kept: what a host loses when a whole rack of engines goes down. */
+  private static final int MAX_ATTEMPTS = 256;
 
-  private final Deque<Lost> attempts = new ArrayDeque<>();
+  private final Deque<LostAttempt> attempts = new ArrayDeque<>();
 
   /**
    * An attempt whose connection broke.
    *
-   * @param content what its request asks
-   * @param endpoint the start that it was sent to
+   * @param content the content of its request
+   * @param endpoint the endpoint incarnation that it was sent to
    * @param sentMs when it was sent
    * @param atMs when the connection broke
    */
-  record Lost(RequestContent content, HostIdentity endpoint, long sentMs, long atMs) {
-    Lost at(long otherMs) {
-      return new Lost(content, endpoint, sentMs, otherMs);
+  record LostAttempt(RequestContent content, HostIdentity endpoint, long sentMs, long atMs) {
+    LostAttempt withTime(long otherMs) {
+      return new LostAttempt(content, endpoint, sentMs, otherMs);
     }
   }
 
-  /** Keeps an attempt. */
-  void add(Lost lost) {
-    attempts.removeIf(one -> lost.atMs() - one.atMs() > KEEP_MS);
-    attempts.addLast(lost);
-    if (attempts.size() > MOST) {
+  /** Adds an attempt. */
+  void add(LostAttempt attempt) {
+    attempts.removeIf(other -> attempt.atMs() - other.atMs() > RETENTION_MS);
+    attempts.addLast(attempt);
+    if (attempts.size() > MAX_ATTEMPTS) {
       attempts.removeFirst();
     }
   }
 
-  /** Takes those out that an end of their endpoint, seen at a time, explains; with that time. */
-  List<Lost> endedWith(HostIdentity endpoint, long atMs) {
+  /**
+   * Removes and returns the attempts whose loss is explained by a termination of their endpoint at
+   * a given time, with that time in place of their own.
+   */
+  List<LostAttempt> takeTerminatedWith(HostIdentity endpoint, long atMs) {
     return take(
-            one -> one.endpoint().equals(endpoint) && Math.abs(one.atMs() - atMs) <= SAME_END_MS)
+            other ->
+                other.endpoint().equals(endpoint)
+                    && Math.abs(other.atMs() - atMs) <= SAME_TERMINATION_MS)
         .stream()
-        .map(one -> one.at(atMs))
+        .map(other -> other.withTime(atMs))
         .toList();
   }
 
   /**
-   * Takes those out whose start is over, as is known now; the last one first, because the endpoint
-   * lived when those before it broke.
+   * Removes and returns the attempts whose incarnation has been superseded, latest first: the
+   * endpoint was still alive when the earlier ones broke.
    */
-  List<Lost> startedAgain(Predicate<HostIdentity> over, long nowMs) {
-    return take(one -> nowMs - one.atMs() <= KEEP_MS && over.test(one.endpoint())).stream()
-        .sorted(Comparator.comparingLong(Lost::atMs).reversed())
+  List<LostAttempt> takeSuperseded(Predicate<HostIdentity> superseded, long nowMs) {
+    return take(other -> nowMs - other.atMs() <= RETENTION_MS && superseded.test(other.endpoint()))
+        .stream()
+        .sorted(Comparator.comparingLong(LostAttempt::atMs).reversed())
         .toList();
   }
 
-  private List<Lost> take(Predicate<Lost> test) {
-    List<Lost> some = attempts.stream().filter(test).toList();
-    attempts.removeAll(some);
-    return some;
+  private List<LostAttempt> take(Predicate<LostAttempt> test) {
+    List<LostAttempt> taken = attempts.stream().filter(test).toList();
+    attempts.removeAll(taken);
+    return taken;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/OpenRequests.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/OpenRequests.java
@@ -7,39 +7,39 @@
 import java.util.function.Function;
 
 /**
- * The requests that have no final answer yet, and how they are given up. Confined to the
- * coordinator's thread; times are those of the host's clock, in milliseconds.
+ * The requests without a final answer. Also gives requests up. Confined to the coordinator's
+ * thread; times are those of the host's clock, in milliseconds.
  */
 final class OpenRequests {
-  private final Map<String, LiveRequest> byId = new HashMap<>();
-  private final WaitingRequests waiting;
+  private final Map<String, OpenRequest> byId = new HashMap<>();
+  private final WaitingRequests waitingRequests;
   private final GroupUsages usages;
-  private final SuspectRequests suspects;
-  private final AttemptEnds ends;
-  private final Explainer explainer;
-  private final List<Action> out;
+  private final SuspectedRequests suspectedRequests;
+  private final AttemptFailures attemptFailures;
+  private final DecisionRecorder decisionRecorder;
+  private final List<Action> actions;
 
   OpenRequests(
-      WaitingRequests waiting,
+      WaitingRequests waitingRequests,
       GroupUsages usages,
-      SuspectRequests suspects,
-      AttemptEnds ends,
-      Explainer explainer,
-      List<Action> out) {
-    this.waiting = waiting;
+      SuspectedRequests suspectedRequests,
+      AttemptFailures attemptFailures,
+      DecisionRecorder decisionRecorder,
+      List<Action> actions) {
+    this.waitingRequests = waitingRequests;
     this.usages = usages;
-    this.suspects = suspects;
-    this.ends = ends;
-    this.explainer = explainer;
-    this.out = out;
+    this.suspectedRequests = suspectedRequests;
+    this.attemptFailures = attemptFailures;
+    this.decisionRecorder = decisionRecorder;
+    this.actions = actions;
   }
 
-  void add(LiveRequest request) {
+  void add(OpenRequest request) {
     byId.put(request.facts.requestId(), request);
   }
 
-  /** Returns a request, or null when it has its final answer. */
-  LiveRequest get(String requestId) {
+  /** Returns a request, or null if it already has its final answer. */
+  OpenRequest get(String requestId) {
     return byId.get(requestId);
   }
 
@@ -51,48 +51,48 @@
     return byId.size();
   }
 
-  /** Returns all of them as they are now; they may be ended while one goes through the list. */
-  List<LiveRequest> all() {
+  /** Returns a copy of the list, so that requests can be removed during iteration. */
+  List<OpenRequest> all() {
     return List.copyOf(byId.values());
   }
 
   /**
-   * Gives up the waiting requests for which there is a final answer now.
+   * Gives up the waiting requests that can be refused now.
    *
-   * @param end returns that answer, or null for a request that waits on
+   * @param refusalOf returns the refusal, or null for a request that continues to wait
    */
-  void giveUpWaiting(Function<LiveRequest, Refusal> end, Reason why, long nowMs) {
-    for (LiveRequest request : all()) {
-      Refusal refusal = request.waiting ? end.apply(request) : null;
+  void giveUpWaiting(Function<OpenRequest, Refusal> refusalOf, Reason reason, long nowMs) {
+    for (OpenRequest request : all()) {
+      Refusal refusal = request.waiting ? refusalOf.apply(request) : null;
       if (refusal != null) {
-        giveUp(request, refusal, why, nowMs);
+        giveUp(request, refusal, reason, nowMs);
       }
     }
   }
 
-  /** Takes a request out of the queue, or ends its last attempt. */
-  void abandonLast(LiveRequest request, long nowMs) {
+  /** Removes a request from the queue, or abandons its last attempt. */
+  void abandonLastAttempt(OpenRequest request, long nowMs) {
     if (request.waiting) {
-      waiting.remove(request);
-      usages.waits(request, false);
+      waitingRequests.remove(request);
+      usages.setWaiting(request, false);
     }
-    LiveRequest.Attempt last = request.last();
+    OpenRequest.Attempt last = request.lastAttempt();
     if (last != null && !last.state.ended()) {
-      ends.abandon(last, nowMs);
+      attemptFailures.abandon(last, nowMs);
     }
   }
 
-  /** Ends a request with its final answer, which no endpoint gave. */
-  void giveUp(LiveRequest request, Refusal refusal, Reason why, long nowMs) {
-    abandonLast(request, nowMs);
-    explainer.refused(request.facts, refusal, why, nowMs);
-    out.add(new Action.Refuse(request.facts.requestId(), refusal));
-    end(request);
+  /** Ends a request with a refusal. */
+  void giveUp(OpenRequest request, Refusal refusal, Reason reason, long nowMs) {
+    abandonLastAttempt(request, nowMs);
+    decisionRecorder.refused(request.facts, refusal, reason, nowMs);
+    actions.add(new Action.Refuse(request.facts.requestId(), refusal));
+    remove(request);
   }
 
-  /** Forgets a request that has its final answer. */
-  void end(LiveRequest request) {
-    suspects.end(request);
+  /** Removes a request that has its final answer. */
+  void remove(OpenRequest request) {
+    suspectedRequests.requestRemoved(request);
     byId.remove(request.facts.requestId());
     usages.of(request).inFlight--;
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/OwnZonePlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/OwnZonePlacement.java
@@ -7,36 +7,37 @@
 import org.fawndrum.state.EndpointKind;
 
 /**
- * Places at the engines of the own zone where the daemons are so many that they tell each other at
- * once only of those; what they know of others is up to a heartbeat old. When no engine of the own
- * zone can take a request, all are looked at.
+ * Prefers engines of the host's own zone. In large deployments daemons send immediate updates only
+ * about these; their view of other zones is up to a heartbeat old. Considers all engines when none
+ * of the own zone can take the request.
  */
 public final class OwnZonePlacement implements Placement {
-  private final Placement inner;
-  private final BooleanSupplier byZone;
+  private final Placement delegate;
+  private final BooleanSupplier preferOwnZone;
 
   /**
-   * Makes the placement.
+   * Creates the placement.
    *
-   * @param inner chooses among those that are looked at
-   * @param byZone whether the own zone goes first
+   * @param delegate chooses among the endpoints considered
+   * @param preferOwnZone whether the own zone is preferred
    */
-  public OwnZonePlacement(Placement inner, BooleanSupplier byZone) {
-    this.inner = inner;
-    this.byZone = byZone;
+  public OwnZonePlacement(Placement delegate, BooleanSupplier preferOwnZone) {
+    this.delegate = delegate;
+    this.preferOwnZone = preferOwnZone;
   }
 
   @Override
   public Optional<Choice> choose(Query query) {
-    boolean engines = query.facts().target().kind() == EndpointKind.MODEL;
-    if (!engines || !byZone.getAsBoolean()) {
-      return inner.choose(query);
+    boolean isModel = query.facts().target().kind() == EndpointKind.MODEL;
+    if (!isModel || !preferOwnZone.getAsBoolean()) {
+      return delegate.choose(query);
     }
-    List<EndpointState> near =
+    List<EndpointState> ownZone =
         query.candidates().stream()
             .filter(state -> state.endpoint().zone().equals(query.zone()))
             .toList();
-    Optional<Choice> choice = near.isEmpty() ? Optional.empty() : inner.choose(query.among(near));
-    return choice.isPresent() ? choice : inner.choose(query);
+    Optional<Choice> choice =
+        ownZone.isEmpty() ? Optional.empty() : delegate.choose(query.withCandidates(ownZone));
+    return choice.isPresent() ? choice : delegate.choose(query);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/PassedOver.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/PassedOver.java
@@ -2,9 +2,9 @@
 package org.fawndrum.coordination;
 
 /**
- * An endpoint that was weighed and not chosen.
+ * An endpoint that was considered and not chosen.
  *
  * @param endpoint its name
- * @param expectedMs when it was expected to give the first token, in milliseconds from now
+ * @param expectedMs the expected time to the first token there, in milliseconds from the decision
  */
 public record PassedOver(String endpoint, long expectedMs) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/Placement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Placement.java
@@ -8,20 +8,20 @@
 import java.util.stream.Stream;
 import org.fawndrum.state.HostIdentity;
 
-/** Chooses the endpoint for a request, or none when it should wait. */
+/** Chooses the endpoint for a request. */
 public interface Placement {
-  /** Returns the choice; empty when no endpoint should take the request now. */
+  /** Returns the choice; empty if no endpoint should take the request now. */
   Optional<Choice> choose(Query query);
 
   /**
-   * What a choice is made from.
+   * The input of a choice.
    *
    * @param facts the request
    * @param priority its priority at the engine
-   * @param candidates the endpoints that serve its target; not to be changed
+   * @param candidates the endpoints that serve its target; must not be modified
    * @param excluded endpoints that already failed the request
    * @param zone the availability zone of this host
-   * @param nowMs the time
+   * @param nowMs the time of the host's clock, in milliseconds
    */
   record Query(
       RequestFacts facts,
@@ -30,15 +30,15 @@
       Set<HostIdentity> excluded,
       String zone,
       long nowMs) {
-    /** Returns the same with other candidates. */
-    public Query among(List<EndpointState> others) {
+    /** Returns the query with other candidates. */
+    public Query withCandidates(List<EndpointState> others) {
       return new Query(facts, priority, others, excluded, zone, nowMs);
     }
 
-    /** Tells whether an endpoint may be used at all. */
+    /** Whether an endpoint may be used: it is not in backoff and not excluded. */
     public boolean usable(EndpointState state) {
-      return !state.avoided(nowMs)
-          && !state.rests(nowMs)
+      return !state.inFailureBackoff(nowMs)
+          && !state.inRequestedBackoff(nowMs)
           && !excluded.contains(state.endpoint().identity());
     }
   }
@@ -47,11 +47,11 @@
    * A chosen endpoint.
    *
    * @param state the endpoint
-   * @param reason why
-   * @param passedOver the nearest endpoints not chosen
-   * @param helpers other engines that read parts of the prompt; none for most requests
-   * @param expectedMs when the first token is expected, in milliseconds from now; empty where
-   *     nothing is expected
+   * @param reason why it was chosen
+   * @param passedOver endpoints considered and not chosen
+   * @param helpers helper engines that prefill segments of the prompt; empty for most requests
+   * @param expectedMs the expected time to the first token, in milliseconds from now; empty if
+   *     unknown
    */
   record Choice(
       EndpointState state,
@@ -59,38 +59,38 @@
       List<PassedOver> passedOver,
       List<Helper> helpers,
       OptionalLong expectedMs) {
-    /** Makes the choice of one endpoint alone, of which nothing is expected. */
+    /** Creates a choice of one endpoint without helpers or an expected time. */
     public Choice(EndpointState state, Reason reason, List<PassedOver> passedOver) {
       this(state, reason, passedOver, List.of(), OptionalLong.empty());
     }
 
-    /** Returns how the prompt will be read; empty where nothing is expected. */
-    Optional<Reading> reading() {
+    /** Returns how the prompt will be prefilled; empty if the expected time is unknown. */
+    Optional<Reading> prefill() {
       if (expectedMs.isEmpty()) {
         return Optional.empty();
       }
       List<String> engines =
           Stream.concat(Stream.of(state), helpers.stream().map(Helper::state))
-              .map(one -> one.endpoint().name())
+              .map(state -> state.endpoint().name())
               .toList();
       return Optional.of(new Reading(engines, expectedMs.getAsLong(), Reading.NOT_YET));
     }
 
-    /** Returns the order to send an attempt to what was chosen. */
-    Action.Send order(AttemptId attempt, int priority, long deadlineMs) {
+    /** Returns the action that sends an attempt to the chosen endpoint and its helpers. */
+    Action.Send toSend(AttemptId attempt, int priority, long deadlineMs) {
       List<Action.Helper> others =
           helpers.stream()
-              .map(one -> new Action.Helper(one.state().endpoint(), one.memoryTokens()))
+              .map(helper -> new Action.Helper(helper.state().endpoint(), helper.memoryTokens()))
               .toList();
       return new Action.Send(attempt, state.endpoint(), priority, deadlineMs, others);
     }
   }
 
   /**
-   * Another engine that takes part in reading a prompt.
+   * A helper engine that prefills a segment of the prompt.
    *
    * @param state the engine
-   * @param memoryTokens the memory to set aside there first, in tokens; 0 for none
+   * @param memoryTokens the memory to reserve there before sending, in tokens; 0 for none
    */
   record Helper(EndpointState state, long memoryTokens) {}
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/Policies.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Policies.java
@@ -8,53 +8,54 @@
 import org.fawndrum.coordination.engine.PlacementWeights;
 
 /**
- * The exchangeable parts of the decisions of one host. Each instance belongs to one coordinator.
+ * The pluggable policies of one host. An instance belongs to one coordinator.
  *
  * @param placement chooses endpoints
  * @param order orders caller groups
- * @param lengths tells short prompts from long ones
- * @param retries the budget for sending again
- * @param mostAttempts the most attempts for one request
- * @param hearsAll tells whether this host hears all other daemons that it knows
- * @param refuseEarly whether a request that cannot finish in time is refused before it waits
+ * @param lengthClassifier classifies prompts by length
+ * @param retries the retry budget
+ * @param maxAttempts the maximum number of attempts for one request
+ * @param receivesFromAll whether this host receives updates from all other daemons it knows
+ * @param refuseEarly whether a request that cannot finish in time is refused before it is queued
  */
 public record Policies(
     Placement placement,
     QueueOrder order,
-    LengthMix lengths,
+    PromptLengthClassifier lengthClassifier,
     RetryBudget retries,
-    int mostAttempts,
-    BooleanSupplier hearsAll,
+    int maxAttempts,
+    BooleanSupplier receivesFromAll,
     boolean refuseEarly) {
-  private static final double SHORT_PART = 0.5;
-  private static final double RETRY_PART = 0.1;
+  private static final double SHORT_FRACTION = 0.5;
+  private static final double RETRY_RATIO = 0.1;
   private static final double RETRY_RESERVE = 10;
-  private static final int MOST_ATTEMPTS = 4;
+  private static final int MAX_ATTEMPTS = 4;
   private static final double SHORT_CREDIT = 200_000;
 
-  /** Returns the policies that daemons use. */
+  /** Returns the default policies without engine profiles. */
   public static Policies standard() {
-    return with(
+    return of(
         new ExpectedFinishPlacement(ExpectedFinishPlacement.Settings.DEFAULT),
-        new FairWorkOrder(SHORT_CREDIT),
+        new WeightedFairOrder(SHORT_CREDIT),
         true);
   }
 
-  /** Returns the first baseline: first come, first served, each endpoint in turn. */
+  /** Returns the first baseline: first come, first served, with endpoints in rotation. */
   public static Policies firstComeRoundRobin() {
-    return with(new RoundRobinPlacement(), new FirstComeOrder(), false);
+    return of(new RoundRobinPlacement(), new FirstComeOrder(), false);
   }
 
-  /** Returns the second baseline: first come, first served, fewest in flight. */
+  /** Returns the second baseline: first come, first served, with the fewest requests in flight. */
   public static Policies firstComeLeastInFlight() {
-    return with(new LeastInFlightPlacement(), new FirstComeOrder(), false);
+    return of(new LeastInFlightPlacement(), new FirstComeOrder(), false);
   }
 
   /**
    * Returns the policies of daemons that know the engines' profiles and each other's work.
    *
-   * @param retries the budget for sending again
-   * @param byZone whether daemons tell each other at once only of the engines of their own zone
+   * @param retries the retry budget
+   * @param byZone whether daemons send each other immediate updates only about engines of their own
+   *     zone
    * @param silentZones the availability zones from which no daemon is heard
    */
   public static Policies engineModel(
@@ -62,26 +63,27 @@
     Placement engines = new EngineModelPlacement(PlacementWeights.DEFAULT);
     return new Policies(
         new ReachableZonePlacement(new OwnZonePlacement(engines, byZone), silentZones),
-        new FairWorkOrder(SHORT_CREDIT),
-        new LengthMix(SHORT_PART),
+        new WeightedFairOrder(SHORT_CREDIT),
+        new PromptLengthClassifier(SHORT_FRACTION),
         retries,
-        MOST_ATTEMPTS,
+        MAX_ATTEMPTS,
         () -> true,
         true);
   }
 
-  /** Returns the same policies for a host that may not hear all others at times. */
-  public Policies hearing(BooleanSupplier all) {
-    return new Policies(placement, order, lengths, retries, mostAttempts, all, refuseEarly);
+  /** Returns these policies for a host that may temporarily not receive from all other daemons. */
+  public Policies hearing(BooleanSupplier receivesFromAll) {
+    return new Policies(
+        placement, order, lengthClassifier, retries, maxAttempts, receivesFromAll, refuseEarly);
   }
 
-  private static Policies with(Placement placement, QueueOrder order, boolean refuseEarly) {
+  private static Policies of(Placement placement, QueueOrder order, boolean refuseEarly) {
     return new Policies(
         placement,
         order,
-        new LengthMix(SHORT_PART),
-        new EarnedRetryBudget(RETRY_PART, RETRY_RESERVE),
-        MOST_ATTEMPTS,
+        new PromptLengthClassifier(SHORT_FRACTION),
+        new EarnedRetryBudget(RETRY_RATIO, RETRY_RESERVE),
+        MAX_ATTEMPTS,
         () -> true,
         refuseEarly);
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/Ran.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Ran.java
@@ -3,16 +3,16 @@
 
 import java.util.Locale;
 
-/** Whether a request ran, as far as the answer can prove it. */
+/** Whether a request ran, as far as can be proved. */
 public enum Ran {
-  /** It surely did not run. */
+  /** It did not run. */
   NO,
   /** It may have run. */
   UNKNOWN,
-  /** It ran, wholly or in part. */
+  /** It ran, at least in part. */
   YES;
 
-  /** Returns the word that callers read. */
+  /** Returns the value used on the wire. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/ReachableZonePlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/ReachableZonePlacement.java
@@ -7,24 +7,24 @@
 import java.util.function.Supplier;
 
 /**
- * Leaves out the endpoints of availability zones from which no daemon is heard: the zone is
- * probably cut off, and a prompt that engines of all zones read would fail on each engine of it in
- * turn. When no other endpoint can take a request, all are looked at, because the daemons alone may
- * be gone. In the seconds of a cut it served 0.03 to 0.2 more of what callers could expect (four
- * played days, without the price of processor time).
+ * Excludes endpoints in availability zones from which no daemon is heard. Such a zone is probably
+ * partitioned off, and a prompt prefilled by engines of all zones would fail at each of its engines
+ * in turn. Considers all endpoints when no other one can take a request, because only the daemons
+ * may be down. During a partition this raised the fraction of expected requests served by 0.03 to
+ * 0.2 (four simulated days, without the cost of processor time).
  */
 public final class ReachableZonePlacement implements Placement {
-  private final Placement inner;
+  private final Placement delegate;
   private final Supplier<Set<String>> silentZones;
 
   /**
-   * Makes the placement.
+   * Creates the placement.
    *
-   * @param inner chooses among those that are looked at
-   * @param silentZones gives the zones from which no daemon is heard
+   * @param delegate chooses among the endpoints considered
+   * @param silentZones provides the zones from which no daemon is heard
    */
-  public ReachableZonePlacement(Placement inner, Supplier<Set<String>> silentZones) {
-    this.inner = inner;
+  public ReachableZonePlacement(Placement delegate, Supplier<Set<String>> silentZones) {
+    this.delegate = delegate;
     this.silentZones = silentZones;
   }
 
@@ -32,13 +32,13 @@
   public Optional<Choice> choose(Query query) {
     Set<String> silent = silentZones.get();
     if (silent.isEmpty()) {
-      return inner.choose(query);
+      return delegate.choose(query);
     }
     List<EndpointState> reachable =
         query.candidates().stream()
             .filter(state -> !silent.contains(state.endpoint().zone()))
             .toList();
-    boolean all = reachable.isEmpty() || reachable.stream().noneMatch(query::usable);
-    return inner.choose(all ? query : query.among(reachable));
+    boolean useAll = reachable.isEmpty() || reachable.stream().noneMatch(query::usable);
+    return delegate.choose(useAll ? query : query.withCandidates(reachable));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/Reading.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Reading.java
@@ -4,27 +4,28 @@
 import java.util.List;
 
 /**
- * How a prompt is read: by which engines, and when its first token was expected and came.
+ * The prefill of a prompt: the engines that take part, and the expected and actual time to the
+ * first token.
  *
- * @param engines the names of all that read a part; the one that writes the answer first
- * @param expectedMs when the first token was expected, in milliseconds after the sending
- * @param tookMs when it came, in the same measure; {@link #NOT_YET} before that
+ * @param engines the names of all participating engines; the one that generates the answer first
+ * @param expectedMs the expected time from sending to the first token, in milliseconds
+ * @param tookMs the actual time, in milliseconds; {@link #NOT_YET} before the first token
  */
 public record Reading(List<String> engines, long expectedMs, long tookMs) {
-  /** The time of a first token that has not come. */
+  /** Value of {@link #tookMs()} before the first token has arrived. */
   public static final long NOT_YET = -1;
 
-  /** Copies the list, so that the reading cannot change. */
+  /** Copies the list to keep the record immutable. */
   public Reading {
     engines = List.copyOf(engines);
   }
 
-  /** Returns the same reading with its first token. */
-  Reading took(long afterMs) {
+  /** Returns this record with the actual time to the first token. */
+  Reading withFirstToken(long afterMs) {
     return new Reading(engines, expectedMs, afterMs);
   }
 
-  /** Returns by how much the first token came later than expected; negative when sooner. */
+  /** Returns the delay of the first token against the expected time; negative if it was early. */
   public long laterMs() {
     return tookMs - expectedMs;
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/Reason.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Reason.java
@@ -1,42 +1,42 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.coordination;
 
-/** Why something was decided. */
+/** The reason of a decision. */
 public enum Reason {
-  /** Within every limit of its row. */
+  /** The request is within every limit of its row. */
   WITHIN_LIMITS,
-  /** A limit of its row decided; the record names the cell. */
+  /** A limit of the row decided; the record names the cell. */
   LIMIT,
-  /** The endpoint with the earliest expected first token. */
+  /** The endpoint has the earliest expected first token. */
   EARLIEST_FIRST_TOKEN,
-  /** Several engines together: one would be late, or could not hold the prompt. */
+  /** Several engines prefill the prompt together: one alone would be late or could not hold it. */
   SEVERAL_ENGINES,
-  /** The next endpoint in turn. */
+  /** The endpoint is the next in rotation. */
   NEXT_IN_TURN,
-  /** The endpoint with the fewest requests in flight. */
+  /** The endpoint has the fewest requests in flight. */
   LEAST_IN_FLIGHT,
-  /** The endpoint holds the beginning of the prompt in its cache. */
+  /** The endpoint has the beginning of the prompt in its cache. */
   CACHED_PREFIX,
-  /** Every endpoint has its share of work. */
+  /** No endpoint can take more work now. */
   ENDPOINTS_BUSY,
-  /** Another endpoint took over after a failure. */
+  /** Another endpoint was chosen after a failure. */
   ENDPOINT_FAILED,
-  /** The endpoint started again and knows nothing of the attempt. */
+  /** The endpoint restarted and lost the attempt. */
   ENDPOINT_RESTARTED,
-  /** The deadline would pass before the end. */
+  /** The deadline has passed or would pass before completion. */
   DEADLINE,
   /** No endpoint serves the target. */
   NO_ENDPOINT,
-  /** The caller went away. */
+  /** The caller closed its connection. */
   CALLER_GONE,
-  /** The budget for sending again is used up. */
+  /** The retry budget is exhausted. */
   RETRY_BUDGET,
-  /** Endpoints end under the request, whoever sends it. */
+  /** Endpoints crash while running the request, whichever host sends it. */
   ENDS_ENDPOINTS,
-  /** The call may not be sent again. */
+  /** The request must not be sent again. */
   NOT_REPEATABLE,
-  /** The host is being stopped. */
+  /** The host is shutting down. */
   DRAINING,
-  /** The answer was complete. */
+  /** The answer is complete. */
   COMPLETE
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/Refusal.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Refusal.java
@@ -7,26 +7,27 @@
 /**
  * The final answer to a request that got no whole answer.
  *
- * @param kind why
+ * @param kind the kind
  * @param ran whether the request ran
- * @param retryAfterMs when sending again makes sense, in milliseconds from now; -1 when it does not
- * @param cell the cell of the table that decided, if one did
+ * @param retryAfterMs the delay after which a retry makes sense, in milliseconds; {@link #NEVER} if
+ *     it does not
+ * @param cell the table cell that decided, if any
  */
 public record Refusal(RefusalKind kind, Ran ran, long retryAfterMs, Optional<CellKey> cell) {
-  /** The value of {@link #retryAfterMs()} when sending again makes no sense. */
+  /** Value of {@link #retryAfterMs()} if a retry makes no sense. */
   public static final long NEVER = -1;
 
-  /** Makes a refusal that no cell decided. */
+  /** Creates a refusal without a table cell. */
   public static Refusal of(RefusalKind kind, Ran ran, long retryAfterMs) {
     return new Refusal(kind, ran, retryAfterMs, Optional.empty());
   }
 
-  /** Makes a refusal of a request that surely did not run and should not be sent again. */
+  /** Creates a refusal of a request that did not run and should not be sent again. */
   public static Refusal notRun(RefusalKind kind) {
     return of(kind, Ran.NO, NEVER);
   }
 
-  /** Returns the same refusal with another statement of whether the request ran. */
+  /** Returns this refusal with another value for whether the request ran. */
   public Refusal with(Ran other) {
     return new Refusal(kind, other, retryAfterMs, cell);
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/RequestFacts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RequestFacts.java
@@ -7,19 +7,19 @@
 import org.fawndrum.state.RequestAims;
 
 /**
- * What the decisions know of a request.
+ * The properties of a request that decisions are based on.
  *
- * @param requestId unique id
+ * @param requestId the unique id
  * @param group the caller group, from the caller's key
- * @param target what it asks for
- * @param promptTokens estimated length of the prompt in tokens; 0 for a plain call
- * @param answerTokens the longest answer asked for, in tokens; 0 for a plain call
+ * @param target the model or service requested
+ * @param promptTokens the estimated length of the prompt in tokens; 0 for a plain call
+ * @param answerTokens the maximum length of the answer in tokens; 0 for a plain call
  * @param arrivedMs when it arrived, in milliseconds of the host's clock
- * @param wantedMs the caller's own time limit in milliseconds; 0 when it names none
+ * @param callerTimeoutMs the caller's own timeout in milliseconds; 0 if it has none
  * @param repeatable whether it may be sent again after an unknown outcome
  * @param prefixes hashes of the prompt's leading blocks, shortest first, for cache affinity
- * @param aims what the caller expects of the answer, where its route says so
- * @param content what it asks, to be compared with other requests
+ * @param aims the latency targets and the attempt limit, if its route has any
+ * @param content the content, for the comparison with other requests
  */
 public record RequestFacts(
     String requestId,
@@ -28,17 +28,17 @@
     long promptTokens,
     long answerTokens,
     long arrivedMs,
-    long wantedMs,
+    long callerTimeoutMs,
     boolean repeatable,
     List<Long> prefixes,
     RequestAims aims,
     RequestContent content) {
-  /** Copies the prefixes, so that the facts cannot change. */
+  /** Copies the prefixes to keep the record immutable. */
   public RequestFacts {
     prefixes = List.copyOf(prefixes);
   }
 
-  /** Makes the facts of a request that is not compared with others. */
+  /** Creates the facts of a request that is not compared with others. */
   public RequestFacts(
       String requestId,
       CallerGroup group,
@@ -46,7 +46,7 @@
       long promptTokens,
       long answerTokens,
       long arrivedMs,
-      long wantedMs,
+      long callerTimeoutMs,
       boolean repeatable,
       List<Long> prefixes,
       RequestAims aims) {
@@ -57,14 +57,14 @@
         promptTokens,
         answerTokens,
         arrivedMs,
-        wantedMs,
+        callerTimeoutMs,
         repeatable,
         prefixes,
         aims,
         RequestContent.UNKNOWN);
   }
 
-  /** Makes the facts of a request of which nothing is expected in particular. */
+  /** Creates the facts of a request without latency targets. */
   public RequestFacts(
       String requestId,
       CallerGroup group,
@@ -72,7 +72,7 @@
       long promptTokens,
       long answerTokens,
       long arrivedMs,
-      long wantedMs,
+      long callerTimeoutMs,
       boolean repeatable,
       List<Long> prefixes) {
     this(
@@ -82,13 +82,13 @@
         promptTokens,
         answerTokens,
         arrivedMs,
-        wantedMs,
+        callerTimeoutMs,
         repeatable,
         prefixes,
         RequestAims.NONE);
   }
 
-  /** Returns the work of the request in tokens: what an engine reads and writes for it. */
+  /** Returns the work of the request in tokens: those to prefill and those to generate. */
   public long workTokens() {
     return Math.max(1, promptTokens + answerTokens);
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/RequestTarget.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RequestTarget.java
@@ -4,9 +4,9 @@
 import org.fawndrum.state.EndpointKind;
 
 /**
- * What a request asks for.
+ * What a request is addressed to.
  *
  * @param kind a model or a plain service
- * @param name the model's or the service's name
+ * @param name the name of the model or service
  */
 public record RequestTarget(EndpointKind kind, String name) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/RetryBudget.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RetryBudget.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.coordination;
 
-/** Decides whether requests may be sent again. Implementations are confined to one thread. */
+/** Limits how often requests are sent again. Implementations are confined to one thread. */
 public interface RetryBudget {
-  /** Counts a first send. */
+  /** Records a first send. */
   void firstSend(RequestTarget target, long nowMs);
 
-  /** Takes one retry if the budget has one. */
+  /** Takes one retry from the budget. Returns whether there was one. */
   boolean tryRetry(RequestTarget target, long nowMs);
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/RetryRule.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RetryRule.java
@@ -3,8 +3,8 @@
 
 /** Decides whether a request whose attempt failed is sent again. Confined to one thread. */
 final class RetryRule {
-  /** How many attempts of one request may fail before anything was sent. */
-  private static final int MOST_UNSENT = 12;
+  /** Maximum number of attempts of one request that may fail before anything was sent. */
+  private static final int MAX_UNSENT_ATTEMPTS = 12;
 
   private final Policies policies;
 
@@ -12,24 +12,26 @@
     this.policies = policies;
   }
 
-  /** Returns why a request is not sent again, or null when it is. */
-  Reason whyNot(LiveRequest request, LiveRequest.Attempt attempt, AttemptEvent event, long nowMs) {
-    if (!EndRules.mayRepeat(request, attempt)) {
+  /** Returns why a request is not sent again, or null if it is. */
+  Reason denialReason(
+      OpenRequest request, OpenRequest.Attempt attempt, AttemptEvent event, long nowMs) {
+    if (!RefusalRules.mayRetry(request, attempt)) {
       return Reason.NOT_REPEATABLE;
     }
     if (event == AttemptEvent.CONNECT_FAILED || event == AttemptEvent.ENDPOINT_RESTS) {
-      // No endpoint saw it, so that it counts against nothing but the patience for it.
-      request.unsent++;
-      return request.unsent < MOST_UNSENT ? null : Reason.RETRY_BUDGET;
+      // Nothing reached an endpoint, so only the limit on unsent attempts applies.
+      request.unsentAttempts++;
+      return request.unsentAttempts < MAX_UNSENT_ATTEMPTS ? null : Reason.RETRY_BUDGET;
     }
-    boolean allowed = !spent(request) && policies.retries().tryRetry(request.facts.target(), nowMs);
+    boolean allowed =
+        !attemptsExhausted(request) && policies.retries().tryRetry(request.facts.target(), nowMs);
     return allowed ? null : Reason.RETRY_BUDGET;
   }
 
-  /** Tells whether a request was sent to as many endpoints as it may be. */
-  private boolean spent(LiveRequest request) {
-    int byRoute = request.facts.aims().mostAttempts();
-    int most = byRoute > 0 ? byRoute : policies.mostAttempts();
-    return request.attempts.size() - request.unsent >= most;
+  /** Whether a request was sent to as many endpoints as allowed. */
+  private boolean attemptsExhausted(OpenRequest request) {
+    int routeLimit = request.facts.aims().mostAttempts();
+    int limit = routeLimit > 0 ? routeLimit : policies.maxAttempts();
+    return request.attempts.size() - request.unsentAttempts >= limit;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/RoundRobinPlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RoundRobinPlacement.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The plain baseline: each endpoint in turn, whatever its load. Confined to one thread. */
+/**
+ * Chooses endpoints in rotation, regardless of their load. Simple baseline. Confined to one thread.
+ */
 public final class RoundRobinPlacement implements Placement {
   private int next;
 
--- a/org.fawndrum/src/org/fawndrum/coordination/StopWindow.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/StopWindow.java
@@ -2,113 +2,124 @@
 package org.fawndrum.coordination;
 
 /**
- * What a host that was told to stop may still take: at first everything, because callers come until
- * the balancer knows, and most requests end by far within the grace period; after that only what
- * ends before the host does even if it takes all of its time. Immutable; reads no clock.
+ * Decides which requests a host accepts during shutdown. At first it accepts everything, because
+ * callers arrive until the load balancer is updated and most requests complete well within the
+ * grace period. After that it accepts only requests whose deadline is before the host's own
+ * shutdown. Immutable; does not read a clock.
  */
 public final class StopWindow {
-  /** The window of a host that nobody told to stop: it takes everything. */
-  public static final StopWindow OPEN =
+  /** The window of a host without a stop order, which accepts everything. */
+  public static final StopWindow UNRESTRICTED =
       new StopWindow(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
 
-  /** The window of a host that takes nothing more. */
+  /** The window of a host that accepts nothing any more. */
   public static final StopWindow CLOSED =
       new StopWindow(Long.MIN_VALUE, Long.MIN_VALUE, Long.MIN_VALUE, Long.MIN_VALUE);
 
   /**
-   * How long everything is taken, in milliseconds from the order: operators excuse the cut of an
-   * answer that was asked for within 3 s of the order to stop, less the order's way to this host.
+   * How long everything is accepted after the stop order, in milliseconds. Operators tolerate the
+   * truncation of answers requested within 3 s of the order; this is less by the time that the
+   * order takes to reach the host.
    */
-  private static final long ALL_MS = 2_800;
+  private static final long ACCEPT_ALL_MS = 2_800;
 
-  /** The same for short grace periods, as a part of them; 3 s are this part of the usual 8 s. */
-  private static final double ALL_PART = 3.0 / 8.0;
+  /** The same limit for short grace periods, as a fraction of them; 3 s of the usual 8 s. */
+  private static final double ACCEPT_ALL_FRACTION = 3.0 / 8.0;
 
   /**
-   * How long before the end of the grace period the host begins to end by itself, in milliseconds:
-   * a host with three quarters of a core stalls for some tenths of a second, and what is open still
-   * has to get its answer after that.
+   * How long before the end of the grace period the host starts its own shutdown, in milliseconds.
+   * A host with three quarters of a core stalls for some tenths of a second, and open requests
+   * still need their answers after that.
    */
-  private static final long BEFORE_KILL_MS = 600;
+  private static final long SHUTDOWN_BEFORE_KILL_MS = 600;
 
   /**
-   * How long before the end of the grace period the process is gone whatever holds it up, in
-   * milliseconds: the order to stop takes some time to come, and the process some tens to end.
+   * How long before the end of the grace period the process exits in any case, in milliseconds. The
+   * stop order takes some time to arrive, and the process needs some tens of milliseconds to exit.
    */
-  private static final long GONE_BEFORE_KILL_MS = 150;
+  private static final long EXIT_BEFORE_KILL_MS = 150;
 
   /**
-   * The last part of the grace period: operators excuse the cut of an answer on which an endpoint
-   * still works then, so that a host which ends by itself before it would cut others.
+   * Divisor of the grace period that gives its last part. Operators tolerate the truncation of
+   * answers that an endpoint is still generating in that part only, so a host must not start its
+   * shutdown before it.
    */
-  private static final long LAST_PART = 6;
+  private static final long PROTECTED_TAIL_DIVISOR = 6;
 
-  private final long allUntilMs;
+  private final long acceptAllUntilMs;
   private final long endMs;
-  private final long earliestEndMs;
+  private final long earliestShutdownMs;
   private final long goneMs;
 
-  private StopWindow(long allUntilMs, long endMs, long earliestEndMs, long goneMs) {
-    this.allUntilMs = allUntilMs;
+  private StopWindow(long acceptAllUntilMs, long endMs, long earliestShutdownMs, long goneMs) {
+    this.acceptAllUntilMs = acceptAllUntilMs;
     this.endMs = endMs;
-    this.earliestEndMs = earliestEndMs;
+    this.earliestShutdownMs = earliestShutdownMs;
     this.goneMs = goneMs;
   }
 
   /**
-   * Returns the window of a host that is told to stop.
+   * Returns the window for a stop order.
    *
-   * @param orderedMs when the order came, in milliseconds of the host's clock
-   * @param graceMs the time between the order and the end by force, in milliseconds
+   * @param orderedMs when the order arrived, in milliseconds of the host's clock
+   * @param graceMs the time from the order to the forced kill, in milliseconds
    */
   public static StopWindow from(long orderedMs, long graceMs) {
-    long lastsMs = Math.max(0, graceMs - BEFORE_KILL_MS);
-    long allMs = Math.min(lastsMs, Math.min(ALL_MS, (long) (graceMs * ALL_PART)));
-    long goneMs = Math.max(0, graceMs - GONE_BEFORE_KILL_MS);
-    long earliestMs = Math.min(lastsMs, graceMs - graceMs / LAST_PART);
+    long shutdownAfterMs = Math.max(0, graceMs - SHUTDOWN_BEFORE_KILL_MS);
+    long acceptAllMs =
+        Math.min(shutdownAfterMs, Math.min(ACCEPT_ALL_MS, (long) (graceMs * ACCEPT_ALL_FRACTION)));
+    long goneMs = Math.max(0, graceMs - EXIT_BEFORE_KILL_MS);
+    long earliestMs = Math.min(shutdownAfterMs, graceMs - graceMs / PROTECTED_TAIL_DIVISOR);
     return new StopWindow(
-        orderedMs + allMs, orderedMs + lastsMs, orderedMs + earliestMs, orderedMs + goneMs);
+        orderedMs + acceptAllMs,
+        orderedMs + shutdownAfterMs,
+        orderedMs + earliestMs,
+        orderedMs + goneMs);
   }
 
   /**
-   * Returns the window of a host that may have been told to stop before it could handle that. At
-   * most half of the grace period is taken for gone: what is in progress gets the other half.
+   * Returns the window for a stop order that may have arrived before it could be handled. Assumes
+   * that at most half of the grace period has passed, and leaves the other half to requests in
+   * progress.
    *
-   * @param earliestMs when the order may have come at the earliest, in milliseconds of the host's
-   *     clock
+   * @param earliestMs the earliest time at which the order may have arrived, in milliseconds of the
+   *     host's clock
    * @param handledMs when it was handled
-   * @param graceMs the time between the order and the end by force, in milliseconds
+   * @param graceMs the time from the order to the forced kill, in milliseconds
    */
   public static StopWindow from(long earliestMs, long handledMs, long graceMs) {
     return from(Math.max(earliestMs, handledMs - graceMs / 2), graceMs);
   }
 
   /**
-   * Tells whether a request may be taken.
+   * Whether a request may be accepted.
    *
-   * @param nowMs when it is whole, in milliseconds of the host's clock
+   * @param nowMs when it has fully arrived, in milliseconds of the host's clock
    * @param deadlineMs when it has its final answer at the latest, by the same clock
    */
-  public boolean takes(long nowMs, long deadlineMs) {
-    return nowMs < allUntilMs || deadlineMs < endMs;
+  public boolean accepts(long nowMs, long deadlineMs) {
+    return nowMs < acceptAllUntilMs || deadlineMs < endMs;
   }
 
-  /** Returns when the host begins its end at the latest, in milliseconds of its clock. */
+  /**
+   * Returns the latest time at which the host starts its own shutdown, in milliseconds of its
+   * clock.
+   */
   public long endMs() {
     return endMs;
   }
 
   /**
-   * Returns when a host begins its end that comes to its work late: earlier by so much, because the
-   * last answers and the end of the process will be as late.
+   * Returns when a host whose events are delayed starts its own shutdown. It starts earlier by the
+   * delay, since the last answers and the exit of the process will be delayed as much.
    *
-   * @param lateMs how late it came at worst during the stop, in milliseconds
+   * @param lateMs the maximum delay during the shutdown so far, in milliseconds
    */
   public long endMs(long lateMs) {
-    return Math.max(earliestEndMs, endMs - lateMs);
+    return Math.max(earliestShutdownMs, endMs - lateMs);
   }
 
-  /** Returns when the process is gone at the latest, in milliseconds of the host's clock. */
+  /** Returns when the process exits at the latest, in milliseconds of the host's clock. */
   public long goneMs() {
     return goneMs;
   }
--- /dev/null
+++ b/org.fawndrum/src/org/fawndrum/coordination/SuspectedRequests.java
@@ -0,0 +1,284 @@
+// SPDX-License-Identifier: Apache-2.0
+package org.fawndrum.coordination;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import org.fawndrum.coordination.crash.CrashFinding;
+import org.fawndrum.coordination.crash.CrashLedger;
+import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.crash.CrashVerdict;
+import org.fawndrum.coordination.crash.EndpointCrash;
+import org.fawndrum.coordination.crash.RefusedRequest;
+import org.fawndrum.coordination.crash.RequestContent;
+import org.fawndrum.state.HostIdentity;
+
+/**
+ * Keeps requests that crash endpoints from being sent. The evidence outlives a request's attempts,
+ * and hosts exchange it. Confined to the coordinator's thread; times are those of the host's clock,
+ * in milliseconds.
+ */
+public final class SuspectedRequests {
+  /** Interval at which held requests are checked, in milliseconds. */
+  private static final long RECHECK_INTERVAL_MS = 20;
+
+  private final CrashLedger crashLedger;
+  private final List<OpenRequest> heldRequests = new ArrayList<>();
+  private final LostAttempts lostAttempts = new LostAttempts();
+  private final EndpointRegistry endpoints;
+  private final BooleanSupplier receivesFromAll;
+  private final List<Action> actions;
+  private boolean hasNewRejections;
+  private long nextRecheckMs = Long.MAX_VALUE;
+
+  SuspectedRequests(
+      HostIdentity self,
+      EndpointRegistry endpoints,
+      BooleanSupplier receivesFromAll,
+      List<Action> actions) {
+    this.crashLedger = new CrashLedger(self);
+    this.endpoints = endpoints;
+    this.receivesFromAll = receivesFromAll;
+    this.actions = actions;
+  }
+
+  /** Whether a request is rejected. */
+  boolean rejects(RequestFacts facts, long nowMs) {
+    return crashLedger.verdict(facts.content(), nowMs) == CrashVerdict.REFUSED;
+  }
+
+  /** Holds a request if it must not be sent before more is known. Returns whether it is held. */
+  boolean holdIfRequired(OpenRequest request, long nowMs) {
+    releaseLease(request);
+    return !mayProceed(request, nowMs) && hold(request, nowMs);
+  }
+
+  /**
+   * Repeats the check for a request that an endpoint could take now: the evidence may have changed
+   * while it waited, or its execution lease may have expired.
+   */
+  boolean recheckBeforeDispatch(OpenRequest request, long nowMs) {
+    RequestContent content = request.facts.content();
+    boolean hasTurn = request.lease != null && crashLedger.lasts(request.lease, nowMs);
+    return !hasTurn && crashLedger.needsTurn(content) && holdIfRequired(request, nowMs);
+  }
+
+  private boolean hold(OpenRequest request, long nowMs) {
+    nextRecheckMs = Math.min(nextRecheckMs, nowMs + RECHECK_INTERVAL_MS);
+    return heldRequests.add(request);
+  }
+
+  /**
+   * Whether a request that is not rejected may proceed now. Acquires an execution lease if needed.
+   */
+  private boolean mayProceed(OpenRequest request, long nowMs) {
+    RequestContent content = request.facts.content();
+    CrashVerdict verdict = crashLedger.verdict(content, nowMs);
+    if (verdict != CrashVerdict.FREE || !crashLedger.needsTurn(content)) {
+      return verdict != CrashVerdict.HELD;
+    }
+    publish(crashLedger.askTurn(content, nowMs));
+    request.lease = crashLedger.beginTurn(content, nowMs).orElse(null);
+    return request.lease != null;
+  }
+
+  /**
+   * Returns the refusal of a request that is quarantined past its deadline, or null. The retry
+   * delay ends when a copy may run again.
+   */
+  Refusal quarantinedTooLong(OpenRequest request, long nowMs) {
+    long untilMs = crashLedger.quarantinedUntilMs(request.facts.content());
+    return untilMs > request.deadlineMs
+        ? RefusalRules.unavailable(request, RefusalKind.QUARANTINED, untilMs - nowMs)
+        : null;
+  }
+
+  private void releaseLease(OpenRequest request) {
+    if (request.lease == null) {
+      return;
+    }
+    OpenRequest.Attempt last = request.lastAttempt();
+    boolean sentUnderLease = last != null && last.sentMs >= request.lease.atMs();
+    boolean ranUnanswered = sentUnderLease && !last.terminationSeen && last.mayHaveRunUnanswered();
+    if (ranUnanswered) {
+      publish(crashLedger.spendTurn(request.lease));
+    } else {
+      crashLedger.endTurn(request.lease);
+    }
+    request.lease = null;
+  }
+
+  /**
+   * Returns the candidates at which a request shares no endpoint with another suspected request.
+   */
+  List<EndpointState> isolatedEndpoints(OpenRequest request, List<EndpointState> candidates) {
+    RequestContent content = request.facts.content();
+    if (!crashLedger.isIsolated(content)) {
+      return candidates;
+    }
+    return candidates.stream()
+        .filter(state -> crashLedger.mayRunAt(content, state.endpoint().identity()))
+        .toList();
+  }
+
+  /** Drops a request that has its final answer. */
+  void requestRemoved(OpenRequest request) {
+    heldRequests.remove(request);
+    releaseLease(request);
+  }
+
+  /**
+   * Records that the endpoint of an attempt terminated while it ran. The termination of a draining
+   * endpoint was planned and is no evidence.
+   */
+  void endpointTerminated(OpenRequest request, OpenRequest.Attempt attempt, long nowMs) {
+    HostIdentity endpoint = attempt.endpoint.endpoint().identity();
+    endpoints.terminated(endpoint, nowMs);
+    if (endpoints.isEligible(endpoint)) {
+      attempt.terminationSeen = true;
+      recordCrash(lostAttempt(request, attempt, nowMs));
+      lostAttempts.takeTerminatedWith(endpoint, nowMs).forEach(this::recordCrash);
+    }
+  }
+
+  /** Records the failure of an attempt. The cause of a broken connection may become known later. */
+  void attemptEnded(OpenRequest request, OpenRequest.Attempt attempt, boolean isLost, long nowMs) {
+    boolean unexplained = isLost && !attempt.terminationSeen;
+    if (unexplained && endpoints.isEligible(attempt.endpoint.endpoint().identity())) {
+      lostAttempts.add(lostAttempt(request, attempt, nowMs));
+    }
+  }
+
+  /** Records that the endpoint of an attempt restarted and lost the request. */
+  void endpointRestarted(OpenRequest request, OpenRequest.Attempt attempt, long nowMs) {
+    attempt.terminationSeen = true;
+    recordCrash(lostAttempt(request, attempt, nowMs));
+  }
+
+  /**
+   * Records superseded incarnations: connections that broke recently are attributed to their
+   * termination.
+   */
+  void incarnationsSuperseded(Predicate<HostIdentity> superseded, long nowMs) {
+    lostAttempts.takeSuperseded(superseded, nowMs).forEach(this::recordSuperseded);
+  }
+
+  private void recordSuperseded(LostAttempts.LostAttempt attempt) {
+    attempt
+        .content()
+        .fingerprint()
+        .ifPresent(
+            fingerprint ->
+                publish(
+                    crashLedger.startIsOver(
+                        attempt.endpoint(), fingerprint, attempt.sentMs(), attempt.atMs())));
+  }
+
+  private static LostAttempts.LostAttempt lostAttempt(
+      OpenRequest request, OpenRequest.Attempt attempt, long nowMs) {
+    HostIdentity endpoint = attempt.endpoint.endpoint().identity();
+    return new LostAttempts.LostAttempt(request.facts.content(), endpoint, attempt.sentMs, nowMs);
+  }
+
+  private void recordCrash(LostAttempts.LostAttempt attempt) {
+    attempt
+        .content()
+        .fingerprint()
+        .ifPresent(
+            fingerprint ->
+                publish(
+                    crashLedger.crashed(
+                        attempt.endpoint(), fingerprint, attempt.sentMs(), attempt.atMs())));
+  }
+
+  /** Records that an endpoint completed a request and survived. */
+  void requestServed(OpenRequest request, long nowMs) {
+    publish(crashLedger.served(request.facts.content(), nowMs));
+  }
+
+  /** Applies an update from another host. */
+  public void heard(CrashNews update, long nowMs) {
+    publish(crashLedger.heard(update, nowMs));
+    for (EndpointCrash crash : update.crashes()) {
+      lostAttempts.takeTerminatedWith(crash.endpoint(), crash.atMs()).forEach(this::recordCrash);
+    }
+  }
+
+  /**
+   * Evaluates evidence that has settled, and releases held requests that may proceed or must be
+   * refused.
+   */
+  void decide(long nowMs, Consumer<OpenRequest> released) {
+    if (nowMs >= crashLedger.dueMs()) {
+      crashLedger.hearsAll(receivesFromAll.getAsBoolean());
+    }
+    List<RefusedRequest> update = crashLedger.decide(nowMs);
+    if (!update.isEmpty()) {
+      publish(CrashNews.ofRefused(update));
+    }
+    release(nowMs, released);
+  }
+
+  private void release(long nowMs, Consumer<OpenRequest> released) {
+    for (OpenRequest request : List.copyOf(heldRequests)) {
+      if (mayProceed(request, nowMs) || quarantinedTooLong(request, nowMs) != null) {
+        heldRequests.remove(request);
+        released.accept(request);
+      }
+    }
+    nextRecheckMs = heldRequests.isEmpty() ? Long.MAX_VALUE : nowMs + RECHECK_INTERVAL_MS;
+  }
+
+  private void publish(CrashNews update) {
+    hasNewRejections |= !update.refused().isEmpty();
+    if (!update.isEmpty()) {
+      actions.add(new Action.TellCrashes(update));
+    }
+  }
+
+  /** Whether requests have been rejected newly since the last call. */
+  boolean takeHasNewRejections() {
+    boolean hadNewRejections = hasNewRejections;
+    hasNewRejections = false;
+    return hadNewRejections;
+  }
+
+  /**
+   * Returns why requests with many terminations were not rejected, if this changed since the last
+   * call.
+   */
+  public List<CrashFinding> takeFindings() {
+    return crashLedger.takeFindings();
+  }
+
+  /** Returns when {@link #decide} is next due, or {@link Long#MAX_VALUE} if it is not. */
+  long dueMs() {
+    return Math.min(nextRecheckMs, crashLedger.dueMs());
+  }
+
+  /** Returns a digest of the evidence, equal on hosts that know the same. */
+  public long summary() {
+    return crashLedger.summary();
+  }
+
+  /** Clears the rejection of a request, given by the fingerprint used in logs and by operators. */
+  public void letGo(String fingerprint, long nowMs) {
+    for (RefusedRequest rejected : crashLedger.refused()) {
+      if (rejected.request().toString().equals(fingerprint)) {
+        publish(crashLedger.letGo(rejected.request(), nowMs));
+      }
+    }
+  }
+
+  /** Returns the requests that are rejected now. */
+  public List<RefusedRequest> refused() {
+    return crashLedger.refused();
+  }
+
+  /** Returns all evidence of this host, for a host that may know less. */
+  public CrashNews all() {
+    return crashLedger.all();
+  }
+}
--- a/org.fawndrum/src/org/fawndrum/coordination/SweepRule.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/SweepRule.java
@@ -10,43 +10,43 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * Decides when what a daemon left on an engine may be freed: only after its owner has been gone
- * without a break for a time that outlasts every pause of a slow owner and the lag of the host
- * list. Confined to one thread; reads no clock.
+ * Decides when the streams that a daemon left on an engine may be released. Its owner must have
+ * been gone without interruption for longer than any pause of a slow owner and the lag of the host
+ * list. Confined to one thread; does not read a clock.
  */
 public final class SweepRule {
-  /** How long an owner must be gone without a break, in milliseconds. */
-  public static final long GONE_MS = 120_000;
+  /** How long an owner must be gone without interruption, in milliseconds. */
+  public static final long MIN_ABSENCE_MS = 120_000;
 
-  private final Map<HostIdentity, Long> goneSinceMs = new HashMap<>();
+  private final Map<HostIdentity, Long> absentSinceMs = new HashMap<>();
 
-  /** What is known of the daemons. */
+  /** Liveness of daemons. */
   public interface Known {
-    /** Tells whether a newer incarnation of the owner's host was heard of. */
+    /** Whether a newer incarnation of the owner's host is known. */
     boolean replaced(HostIdentity owner);
 
-    /** Tells whether the platform lists the owner's host. */
+    /** Whether the platform lists the owner's host. */
     boolean listed(HostIdentity owner);
 
-    /** Tells whether the owner was heard of lately. */
+    /** Whether the owner was heard from recently. */
     boolean alive(HostIdentity owner);
   }
 
   /**
-   * Looks at the owners that engines name, all of them at once, and returns those whose streams may
-   * be freed.
+   * Returns the owners whose streams may be released. Must be called with all owners that engines
+   * report, since the absence times of others are dropped.
    */
-  public List<HostIdentity> sweepable(Set<HostIdentity> owners, Known known, long nowMs) {
-    goneSinceMs.keySet().retainAll(owners);
+  public List<HostIdentity> sweepable(Set<HostIdentity> owners, Known status, long nowMs) {
+    absentSinceMs.keySet().retainAll(owners);
     List<HostIdentity> sweepable = new ArrayList<>();
     for (HostIdentity owner : new HashSet<>(owners)) {
-      boolean gone = known.replaced(owner) || !known.listed(owner) && !known.alive(owner);
+      boolean gone = status.replaced(owner) || !status.listed(owner) && !status.alive(owner);
       if (!gone) {
-        goneSinceMs.remove(owner);
+        absentSinceMs.remove(owner);
         continue;
       }
-      long sinceMs = goneSinceMs.computeIfAbsent(owner, one -> nowMs);
-      if (nowMs - sinceMs >= GONE_MS) {
+      long sinceMs = absentSinceMs.computeIfAbsent(owner, key -> nowMs);
+      if (nowMs - sinceMs >= MIN_ABSENCE_MS) {
         sweepable.add(owner);
       }
     }
--- a/org.fawndrum/src/org/fawndrum/coordination/TokenBucket.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/TokenBucket.java
@@ -2,9 +2,8 @@
 package org.fawndrum.coordination;
 
 /**
- * A limit on a rate: it fills at a steady rate up to a burst and is emptied by use. Confined to one
- * thread. Time comes in with each call and never runs backwards; an earlier time is taken as the
- * last one seen.
+ * A rate limiter that refills at a steady rate up to a burst. Confined to one thread. The time is
+ * passed to each call; a time before the last one counts as the last one.
  */
 public final class TokenBucket {
   private static final double MS_PER_SECOND = 1000.0;
@@ -15,11 +14,11 @@
   private long lastMs;
 
   /**
-   * Makes a full bucket.
+   * Creates a full bucket.
    *
-   * @param perSecond the rate at which it fills
-   * @param burst the most that it holds
-   * @param nowMs the time
+   * @param perSecond the refill rate per second
+   * @param burst the capacity
+   * @param nowMs the time, in milliseconds
    */
   public TokenBucket(double perSecond, double burst, long nowMs) {
     this.perSecond = perSecond;
@@ -28,7 +27,7 @@
     this.lastMs = nowMs;
   }
 
-  /** Changes rate and burst; what is in the bucket stays, up to the new burst. */
+  /** Changes the rate and the capacity. The level is kept, up to the new capacity. */
   public void resize(double newPerSecond, double newBurst, long nowMs) {
     fill(nowMs);
     perSecond = newPerSecond;
@@ -37,12 +36,12 @@
   }
 
   /**
-   * Takes an amount if the bucket is not in debt. One call may take more than the burst: the bucket
-   * then goes into debt, so that the rate holds on the long run also for large amounts.
+   * Takes an amount if the level covers it or the bucket is full. An amount above the capacity
+   * leaves the level negative, so that the average rate holds for large amounts too.
    *
    * @return whether it was taken
    */
-  public boolean take(double amount, long nowMs) {
+  public boolean tryTake(double amount, long nowMs) {
     fill(nowMs);
     if (level < Math.min(amount, burst)) {
       return false;
@@ -51,12 +50,12 @@
     return true;
   }
 
-  /** Puts back what was taken for something that did not happen. */
-  public void giveBack(double amount) {
+  /** Returns an amount that was taken and not used. */
+  public void refund(double amount) {
     level = Math.min(burst, level + amount);
   }
 
-  /** Returns after how many milliseconds an amount can be taken. */
+  /** Returns the time until an amount can be taken, in milliseconds. */
   public long waitMs(double amount, long nowMs) {
     fill(nowMs);
     double missing = Math.min(amount, burst) - level;
--- a/org.fawndrum/src/org/fawndrum/coordination/WaitingRequests.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/WaitingRequests.java
@@ -15,54 +15,54 @@
 import org.fawndrum.state.Column;
 
 /**
- * The requests that wait for an endpoint: one first-in-first-out lane for each caller group, target
- * and length class. Confined to one thread.
+ * The queue of requests that wait for an endpoint: one FIFO lane for each caller group, target and
+ * length class. Confined to one thread.
  */
 final class WaitingRequests {
   private static final long YIELD_AFTER_MS = 1_000;
 
   private final QueueOrder order;
-  private final LengthMix lengths;
-  private final Map<LaneKey, Deque<LiveRequest>> lanes = new HashMap<>();
+  private final PromptLengthClassifier lengthClassifier;
+  private final Map<LaneKey, Deque<OpenRequest>> lanes = new HashMap<>();
   private final Map<RequestTarget, Long> waitingTokens = new HashMap<>();
   private int size;
 
-  /** Names a lane. */
+  /** Identifies a lane. */
   private record LaneKey(CallerGroup group, RequestTarget target, int lengthClass) {}
 
-  /** A lane with the place of its oldest request. */
-  private record Place(LaneKey key, double place, long arrivedMs) {}
+  /** A lane with the sort key of its oldest request. */
+  private record LanePosition(LaneKey key, double sortKey, long arrivedMs) {}
 
-  private static final Comparator<Place> BY_PLACE =
-      Comparator.comparingDouble(Place::place).thenComparingLong(Place::arrivedMs);
+  private static final Comparator<LanePosition> BY_SORT_KEY =
+      Comparator.comparingDouble(LanePosition::sortKey).thenComparingLong(LanePosition::arrivedMs);
 
-  WaitingRequests(QueueOrder order, LengthMix lengths) {
+  WaitingRequests(QueueOrder order, PromptLengthClassifier lengthClassifier) {
     this.order = order;
-    this.lengths = lengths;
+    this.lengthClassifier = lengthClassifier;
   }
 
   int size() {
     return size;
   }
 
-  /** Returns the work that waits for a target, in tokens. */
+  /** Returns the work waiting for a target, in tokens. */
   long waitingTokens(RequestTarget target) {
     return waitingTokens.getOrDefault(target, 0L);
   }
 
   /**
-   * Returns the work that a new request would wait behind, in tokens: its group's own, blown up to
-   * the part of the drain that the group's weight gives it, but never more than all that waits.
+   * Returns the work queued ahead of a new request, in tokens: that of its own group divided by the
+   * group's share of the target's dispatch rate, but at most all waiting work.
    */
   long tokensAhead(RequestFacts facts) {
-    long all = waitingTokens(facts.target());
-    if (all == 0) {
+    long totalTokens = waitingTokens(facts.target());
+    if (totalTokens == 0) {
       return 0;
     }
-    long own = 0;
+    long ownTokens = 0;
     double ownWeight = 1;
     Map<CallerGroup, Long> weights = new HashMap<>();
-    for (Map.Entry<LaneKey, Deque<LiveRequest>> lane : lanes.entrySet()) {
+    for (Map.Entry<LaneKey, Deque<OpenRequest>> lane : lanes.entrySet()) {
       if (!lane.getKey().target().equals(facts.target())) {
         continue;
       }
@@ -70,66 +70,67 @@
       weights.put(lane.getKey().group(), weight);
       if (lane.getKey().group().equals(facts.group())) {
         ownWeight = weight;
-        for (LiveRequest request : lane.getValue()) {
-          own += request.facts.workTokens();
+        for (OpenRequest request : lane.getValue()) {
+          ownTokens += request.facts.workTokens();
         }
       }
     }
     double sum = weights.values().stream().mapToLong(Long::longValue).sum();
-    return Math.min(all, (long) (own * sum / ownWeight));
+    return Math.min(totalTokens, (long) (ownTokens * sum / ownWeight));
   }
 
-  void add(LiveRequest request) {
+  void add(OpenRequest request) {
     LaneKey key = keyOf(request);
-    Deque<LiveRequest> lane = lanes.computeIfAbsent(key, k -> new ArrayDeque<>());
+    Deque<OpenRequest> lane = lanes.computeIfAbsent(key, k -> new ArrayDeque<>());
     if (lane.isEmpty()) {
       order.backlogged(request.facts);
     }
     lane.add(request);
     request.lane = key;
-    added(request, 1);
+    updateCounts(request, 1);
   }
 
-  void remove(LiveRequest request) {
+  void remove(OpenRequest request) {
     LaneKey key = request.lane instanceof LaneKey lane ? lane : keyOf(request);
-    Deque<LiveRequest> lane = lanes.get(key);
+    Deque<OpenRequest> lane = lanes.get(key);
     if (lane != null && lane.remove(request)) {
-      added(request, -1);
+      updateCounts(request, -1);
       dropIfEmpty(key, lane);
     }
   }
 
-  private void added(LiveRequest request, int sign) {
+  private void updateCounts(OpenRequest request, int sign) {
     size += sign;
     long tokens = sign * request.facts.workTokens();
     waitingTokens.merge(request.facts.target(), tokens, Long::sum);
   }
 
-  private LaneKey keyOf(LiveRequest request) {
+  private LaneKey keyOf(OpenRequest request) {
     RequestFacts facts = request.facts;
-    return new LaneKey(facts.group(), facts.target(), lengths.lengthClass(facts.promptTokens()));
+    return new LaneKey(
+        facts.group(), facts.target(), lengthClassifier.lengthClass(facts.promptTokens()));
   }
 
-  private void dropIfEmpty(LaneKey key, Deque<LiveRequest> lane) {
+  private void dropIfEmpty(LaneKey key, Deque<OpenRequest> lane) {
     if (lane.isEmpty()) {
       lanes.remove(key);
     }
   }
 
   /**
-   * Tells whether a request should use only what others leave: its group has used more than its
-   * share, and somebody else's request has waited for a while.
+   * Whether a request should use only idle capacity: its group has used more than its share, and a
+   * request of another group that has not has waited for over a second.
    */
-  boolean shouldYield(LiveRequest request, long nowMs) {
-    boolean isShort = lengths.isShort(request.facts.promptTokens());
-    if (isShort || !order.overShare(request.facts)) {
+  boolean shouldYield(OpenRequest request, long nowMs) {
+    boolean isShort = lengthClassifier.isShort(request.facts.promptTokens());
+    if (isShort || !order.isOverShare(request.facts)) {
       return false;
     }
-    for (Deque<LiveRequest> lane : lanes.values()) {
-      LiveRequest oldest = lane.peek();
+    for (Deque<OpenRequest> lane : lanes.values()) {
+      OpenRequest oldest = lane.peek();
       boolean other = !oldest.facts.group().equals(request.facts.group());
       boolean waited = nowMs - oldest.facts.arrivedMs() > YIELD_AFTER_MS;
-      if (other && waited && !order.overShare(oldest.facts)) {
+      if (other && waited && !order.isOverShare(oldest.facts)) {
         return true;
       }
     }
@@ -137,31 +138,31 @@
   }
 
   /**
-   * Offers waiting requests in order until none is taken. A request that is not taken keeps its
-   * lane's place; other lanes of the same target and length class are passed over too, because what
-   * was refused to the first in order is not given to a later one.
+   * Offers waiting requests in order until none is accepted. A request that is not accepted keeps
+   * its place. Other lanes of the same target and length class are then skipped too, so that a
+   * later request cannot overtake it.
    *
-   * @param taker takes a request and returns whether it was sent
+   * @param taker accepts a request and returns whether it was sent
    */
-  void dispatch(Predicate<LiveRequest> taker) {
+  void dispatch(Predicate<OpenRequest> taker) {
     Set<LaneKey> blocked = new HashSet<>();
     boolean taken = true;
     while (taken && size > 0) {
       taken = false;
-      for (Place place : places()) {
-        LaneKey key = place.key();
+      for (LanePosition position : orderedLanes()) {
+        LaneKey key = position.key();
         LaneKey barrier = new LaneKey(null, key.target(), key.lengthClass());
         if (blocked.contains(barrier)) {
           continue;
         }
-        Deque<LiveRequest> lane = lanes.get(key);
-        LiveRequest request = lane.peek();
+        Deque<OpenRequest> lane = lanes.get(key);
+        OpenRequest request = lane.peek();
         if (!taker.test(request)) {
           blocked.add(barrier);
           continue;
         }
         lane.remove();
-        added(request, -1);
+        updateCounts(request, -1);
         dropIfEmpty(key, lane);
         order.dispatched(request.facts, request.row.number(Column.SHARE));
         taken = true;
@@ -170,15 +171,15 @@
     }
   }
 
-  private List<Place> places() {
-    List<Place> places = new ArrayList<>(lanes.size());
-    for (Map.Entry<LaneKey, Deque<LiveRequest>> lane : lanes.entrySet()) {
-      LiveRequest oldest = lane.getValue().peek();
+  private List<LanePosition> orderedLanes() {
+    List<LanePosition> positions = new ArrayList<>(lanes.size());
+    for (Map.Entry<LaneKey, Deque<OpenRequest>> lane : lanes.entrySet()) {
+      OpenRequest oldest = lane.getValue().peek();
       long weight = oldest.row.number(Column.SHARE);
-      double place = order.place(oldest.facts, weight, lane.getKey().lengthClass() == 0);
-      places.add(new Place(lane.getKey(), place, oldest.facts.arrivedMs()));
+      double position = order.sortKey(oldest.facts, weight, lane.getKey().lengthClass() == 0);
+      positions.add(new LanePosition(lane.getKey(), position, oldest.facts.arrivedMs()));
     }
-    places.sort(BY_PLACE);
-    return places;
+    positions.sort(BY_SORT_KEY);
+    return positions;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/WindowRetryBudget.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/WindowRetryBudget.java
@@ -8,30 +8,31 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Bounds the retries to each target in every span of a length, over all daemons together: a daemon
- * uses its part of the reserve and what its own requests allow, and so needs to hear from nobody.
+ * Limits the retries to each target within every time window, over all daemons together. Each
+ * daemon uses its part of the reserve plus a ratio of its own requests, so that no coordination is
+ * needed.
  */
 public final class WindowRetryBudget implements RetryBudget {
-  /** Spans of any position are kept, so that requests count only as old as half a window. */
-  private static final int REQUESTS_WINDOW_PART = 2;
+  /** The limit must hold for a window at any position, so requests count for half a window only. */
+  private static final int REQUEST_WINDOW_DIVISOR = 2;
 
   private final double ratio;
   private final DoubleSupplier reserve;
   private final long windowMs;
   private final Map<RequestTarget, Sends> byTarget = new HashMap<>();
 
-  /** When requests and retries were sent, oldest first. */
+  /** Times of first sends and retries, oldest first. */
   private static final class Sends {
-    final Deque<Long> first = new ArrayDeque<>();
-    final Deque<Long> again = new ArrayDeque<>();
+    final Deque<Long> firstSends = new ArrayDeque<>();
+    final Deque<Long> retries = new ArrayDeque<>();
   }
 
   /**
-   * Makes a budget.
+   * Creates a budget.
    *
-   * @param ratio retries allowed for one request
-   * @param reserve tells how many retries of this daemon are allowed in any case
-   * @param windowMs the length of the span, in milliseconds
+   * @param ratio the number of retries allowed for each request
+   * @param reserve provides the number of retries always allowed to this daemon
+   * @param windowMs the length of the window, in milliseconds
    */
   public WindowRetryBudget(double ratio, DoubleSupplier reserve, long windowMs) {
     this.ratio = ratio;
@@ -41,27 +42,27 @@
 
   @Override
   public void firstSend(RequestTarget target, long nowMs) {
-    sends(target, nowMs).first.addLast(nowMs);
+    sends(target, nowMs).firstSends.addLast(nowMs);
   }
 
   @Override
   public boolean tryRetry(RequestTarget target, long nowMs) {
     Sends sends = sends(target, nowMs);
-    if (sends.again.size() + 1 > reserve.getAsDouble() + ratio * sends.first.size()) {
+    if (sends.retries.size() + 1 > reserve.getAsDouble() + ratio * sends.firstSends.size()) {
       return false;
     }
-    sends.again.addLast(nowMs);
+    sends.retries.addLast(nowMs);
     return true;
   }
 
   private Sends sends(RequestTarget target, long nowMs) {
     Sends sends = byTarget.computeIfAbsent(target, key -> new Sends());
-    forget(sends.first, nowMs - windowMs / REQUESTS_WINDOW_PART);
-    forget(sends.again, nowMs - windowMs);
+    removeBefore(sends.firstSends, nowMs - windowMs / REQUEST_WINDOW_DIVISOR);
+    removeBefore(sends.retries, nowMs - windowMs);
     return sends;
   }
 
-  private static void forget(Deque<Long> times, long beforeMs) {
+  private static void removeBefore(Deque<Long> times, long beforeMs) {
     while (!times.isEmpty() && times.peekFirst() < beforeMs) {
       times.removeFirst();
     }
--- a/org.fawndrum/src/org/fawndrum/coordination/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/package-info.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * The decisions: admission, order, placement, limits, retries, claims and membership. Nothing here
- * reads a clock, a socket or chance; time, random numbers and identity come in with the events.
+ * The decisions of a host: admission, queue order, placement, limits, retries, claims and
+ * membership. The code here does not read clocks, sockets or random sources; time, random numbers
+ * and identity are passed in with the events.
  */
 package org.fawndrum.coordination;
--- a/org.fawndrum/tst/org/fawndrum/coordination/AnswerAssemblerTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/AnswerAssemblerTest.java
@@ -115,7 +115,7 @@
     AnswerAssembler assembler = new AnswerAssembler();
     assembler.begin(attempt(1));
     Result result = Result.NOTHING;
-    for (long at = 1; at <= AnswerAssembler.MOST_HELD + 1; at++) {
+    for (long at = 1; at <= AnswerAssembler.MAX_BUFFERED + 1; at++) {
       result = assembler.chunk(attempt(1), at, "x");
     }
     assertEquals(Result.CUT, result);
--- a/org.fawndrum/tst/org/fawndrum/coordination/AttemptStatesTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/AttemptStatesTest.java
@@ -21,7 +21,7 @@
       sending |= event == AttemptEvent.SENDING && !state.ended();
       word |= event == AttemptEvent.CONNECT_FAILED || event == AttemptEvent.REFUSED_BY_ENDPOINT;
       word |= event == AttemptEvent.ENDPOINT_RESTS;
-      state = AttemptStates.after(state, event);
+      state = AttemptTransitions.next(state, event);
       showed |= state == AttemptState.RUNNING;
       if (state.ran() == Ran.NO) {
         assertTrue(!sending || word, events.toString());
@@ -35,7 +35,7 @@
     AttemptState state = AttemptState.WAITING;
     for (AttemptEvent event : events) {
       AttemptState before = state;
-      state = AttemptStates.after(before, event);
+      state = AttemptTransitions.next(before, event);
       if (before.ended()) {
         assertTrue(state.ended());
         assertTrue(state.ran() == before.ran() || before == AttemptState.UNKNOWN);
@@ -45,7 +45,7 @@
 
   @Test
   void lostAfterSendingIsUnknown() {
-    AttemptState sent = AttemptStates.after(AttemptState.WAITING, AttemptEvent.SENDING);
-    assertEquals(Ran.UNKNOWN, AttemptStates.after(sent, AttemptEvent.LOST).ran());
+    AttemptState sent = AttemptTransitions.next(AttemptState.WAITING, AttemptEvent.SENDING);
+    assertEquals(Ran.UNKNOWN, AttemptTransitions.next(sent, AttemptEvent.LOST).ran());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/EndpointRestTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/EndpointRestTest.java
@@ -40,7 +40,7 @@
   private static final long REST_MS = 3_000;
 
   private final EndpointRests rests = new EndpointRests();
-  private final EndpointBook book = new EndpointBook(rests);
+  private final EndpointRegistry book = new EndpointRegistry(rests);
   private final RequestCoordinator coordinator =
       new RequestCoordinator(
           new HostIdentity("host-1", 1),
@@ -54,7 +54,7 @@
     Row row = Row.EMPTY.with(Column.DEADLINE_MS, new Cell("60000", 0, "ana"));
     coordinator.table(new TableParts(0, 0).row(GROUP, row).build(), 0);
     coordinator.endpoints(engines(FIRST, SECOND), 0);
-    book.offer(engines(FIRST));
+    book.update(engines(FIRST));
   }
 
   private static List<Endpoint> engines(HostIdentity... identities) {
@@ -73,7 +73,7 @@
   }
 
   private boolean restsAt(long nowMs) {
-    return book.state(FIRST).rests(nowMs);
+    return book.state(FIRST).inRequestedBackoff(nowMs);
   }
 
   /** A request comes; returns what was sent for it, if anything was. */
@@ -121,7 +121,7 @@
   @Test
   void noWholeAnswerEndsIt() {
     rests.asked(FIRST, REST_MS, 0);
-    book.state(FIRST).answered();
+    book.state(FIRST).recordSuccess();
     assertTrue(restsAt(1));
   }
 
@@ -150,7 +150,7 @@
   @Test
   void aStartAfterAnEndThatWasSeenDoesNotRest() {
     rests.asked(FIRST, REST_MS, 0);
-    book.ended(FIRST, 10);
+    book.terminated(FIRST, 10);
     assertFalse(laterStartRestsAt(11));
     assertFalse(restsAt(11));
   }
@@ -172,33 +172,33 @@
   @Test
   void anEndThatWasSeenBeforeTheWordSaysNothingAboutIt() {
     rests.asked(FIRST, REST_MS, 10);
-    book.ended(FIRST, 5);
+    book.terminated(FIRST, 5);
     assertTrue(laterStartRestsAt(11));
     assertTrue(restsAt(11));
   }
 
   @Test
   void aLongRestDoesNotBindWhatStartsLongAfterTheWord() {
-    rests.asked(FIRST, 10 * EndpointRests.KNOWN_LATE_MS, 0);
-    assertTrue(laterStartRestsAt(EndpointRests.KNOWN_LATE_MS - 1));
-    assertFalse(laterStartRestsAt(EndpointRests.KNOWN_LATE_MS));
-    assertTrue(restsAt(EndpointRests.KNOWN_LATE_MS));
-    rests.asked(new HostIdentity("e-1", 2), 100, EndpointRests.KNOWN_LATE_MS);
-    assertTrue(laterStartRestsAt(EndpointRests.KNOWN_LATE_MS + 99));
-    assertFalse(laterStartRestsAt(EndpointRests.KNOWN_LATE_MS + 100));
+    rests.asked(FIRST, 10 * EndpointRests.MAX_DISCOVERY_DELAY_MS, 0);
+    assertTrue(laterStartRestsAt(EndpointRests.MAX_DISCOVERY_DELAY_MS - 1));
+    assertFalse(laterStartRestsAt(EndpointRests.MAX_DISCOVERY_DELAY_MS));
+    assertTrue(restsAt(EndpointRests.MAX_DISCOVERY_DELAY_MS));
+    rests.asked(new HostIdentity("e-1", 2), 100, EndpointRests.MAX_DISCOVERY_DELAY_MS);
+    assertTrue(laterStartRestsAt(EndpointRests.MAX_DISCOVERY_DELAY_MS + 99));
+    assertFalse(laterStartRestsAt(EndpointRests.MAX_DISCOVERY_DELAY_MS + 100));
   }
 
   private boolean laterStartRestsAt(long nowMs) {
     HostIdentity later = new HostIdentity("e-1", 2);
-    book.offer(engines(FIRST, later));
-    return book.state(later).rests(nowMs);
+    book.update(engines(FIRST, later));
+    return book.state(later).inRequestedBackoff(nowMs);
   }
 
   @Test
   void itOutlastsTheListThatLacksTheEndpointForAMoment() {
     rests.asked(FIRST, REST_MS, 0);
-    book.offer(List.of());
-    book.offer(engines(FIRST));
+    book.update(List.of());
+    book.update(engines(FIRST));
     assertTrue(restsAt(1));
   }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/EndpointRestartTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/EndpointRestartTest.java
@@ -36,7 +36,7 @@
   private static final HostIdentity OTHER_HOST = new HostIdentity("host-2", 1);
   private static final RequestAims AIMS = new RequestAims(2_500, 1_000, 2);
 
-  private final EndpointBook book = new EndpointBook(new EndpointRests());
+  private final EndpointRegistry book = new EndpointRegistry(new EndpointRests());
   private final EngineWork work =
       new EngineWork(new HostIdentity("host-1", 1), book, new ArrayList<>());
   private final EndpointRoster roster = new EndpointRoster();
@@ -50,7 +50,7 @@
   EndpointRestartTest() {
     Row row = Row.EMPTY.with(Column.DEADLINE_MS, new Cell("60000", 0, "ana"));
     coordinator.table(new TableParts(0, 0).row(GROUP, row).build(), 0);
-    book.offer(List.of(engine("e-1", 1)));
+    book.update(List.of(engine("e-1", 1)));
   }
 
   private static Endpoint engine(String name, long start) {
@@ -69,7 +69,7 @@
   }
 
   private void startsAgain() {
-    book.offer(List.of(engine("e-1", 2)));
+    book.update(List.of(engine("e-1", 2)));
   }
 
   private static EngineJob job(long id, long start) {
@@ -77,7 +77,7 @@
   }
 
   private void heard(EngineNews news) {
-    work.heard(OTHER_HOST, news, 10);
+    work.applyUpdate(OTHER_HOST, news, 10);
   }
 
   @Test
@@ -95,7 +95,7 @@
     heard(placed);
     startsAgain();
     heard(placed);
-    work.heardAll(OTHER_HOST, List.of(placed), 20);
+    work.replaceAll(OTHER_HOST, List.of(placed), 20);
     assertEquals(0, state(2).load().size());
   }
 
@@ -103,24 +103,24 @@
   void workAtAnEndpointThatWasMissingForAWhileCountsAgain() {
     EngineNews.Placed placed = new EngineNews.Placed(job(7, 1));
     heard(placed);
-    book.offer(List.of());
-    book.offer(List.of(engine("e-1", 1)));
+    book.update(List.of());
+    book.update(List.of(engine("e-1", 1)));
     assertEquals(0, state(1).load().size());
-    work.heardAll(OTHER_HOST, List.of(placed), 20);
-    work.heardAll(OTHER_HOST, List.of(placed), 30);
+    work.replaceAll(OTHER_HOST, List.of(placed), 20);
+    work.replaceAll(OTHER_HOST, List.of(placed), 30);
     assertEquals(1, state(1).load().size());
-    work.heardAll(OTHER_HOST, List.of(), 40);
+    work.replaceAll(OTHER_HOST, List.of(), 40);
     assertEquals(0, state(1).load().size());
   }
 
   @Test
   void blameAndRest() {
     for (int i = 0; i < 4; i++) {
-      state(1).failed(0);
+      state(1).recordFailure(0);
     }
-    assertTrue(state(1).avoided(100));
+    assertTrue(state(1).inFailureBackoff(100));
     startsAgain();
-    assertFalse(state(2).avoided(100));
+    assertFalse(state(2).inFailureBackoff(100));
   }
 
   @Test
@@ -128,16 +128,16 @@
     heard(new EngineNews.Placed(job(7, 1)));
     startsAgain();
     heard(new EngineNews.Ended(7, true));
-    assertFalse(state(2).avoided(11));
-    work.failed(new HostIdentity("e-1", 1), 10);
-    assertFalse(state(2).avoided(11));
+    assertFalse(state(2).inFailureBackoff(11));
+    work.endpointFailed(new HostIdentity("e-1", 1), 10);
+    assertFalse(state(2).inFailureBackoff(11));
   }
 
   @Test
   void prefixesThatItHadRead() {
     state(1).prefixes().stored(List.of(4L, 5L));
     startsAgain();
-    assertEquals(0, state(2).prefixes().match(List.of(4L, 5L)));
+    assertEquals(0, state(2).prefixes().matchingBlocks(List.of(4L, 5L)));
   }
 
   @Test
@@ -159,11 +159,11 @@
 
   @Test
   void loadThatItReported() {
-    state(1).reported(new LoadReport(9, backlog(100_000), 0, 3, 1_000), 0);
+    state(1).loadReported(new LoadReport(9, backlog(100_000), 0, 3, 1_000), 0);
     startsAgain();
     assertEquals(0, state(2).backlogFrom(0, 0));
     assertEquals(PROFILE.memoryTokens(), state(2).freeTokens());
-    state(2).reported(new LoadReport(1, backlog(500), 10, 1, 1_000), 5);
+    state(2).loadReported(new LoadReport(1, backlog(500), 10, 1, 1_000), 5);
     assertEquals(500, state(2).backlogFrom(0, 5));
   }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/ExplainerTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/ExplainerTest.java
@@ -27,8 +27,8 @@
   private static final List<PassedOver> PASSED_OVER = List.of(new PassedOver("engine-3", 90));
 
   private final List<Action> out = new ArrayList<>();
-  private final Explainer explainer = new Explainer(out);
-  private final LiveRequest request = new LiveRequest(FACTS, Row.EMPTY, 16_000, 0);
+  private final DecisionRecorder explainer = new DecisionRecorder(out);
+  private final OpenRequest request = new OpenRequest(FACTS, Row.EMPTY, 16_000, 0);
   private final Placement.Choice choice =
       new Placement.Choice(
           engine(1),
@@ -51,8 +51,8 @@
         new EndpointRests());
   }
 
-  private LiveRequest.Attempt attempt() {
-    return new LiveRequest.Attempt(
+  private OpenRequest.Attempt attempt() {
+    return new OpenRequest.Attempt(
         new AttemptId(new HostIdentity("host-1", 1), "r-1", 2), choice, 1_040);
   }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/FairWorkOrderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/FairWorkOrderTest.java
@@ -31,7 +31,7 @@
   @Property(tries = 300, seed = "95")
   void backloggedGroupsGetWorkByWeight(@ForAll long seed) {
     Random random = new Random(seed);
-    FairWorkOrder order = new FairWorkOrder(0);
+    WeightedFairOrder order = new WeightedFairOrder(0);
     long[] weights = {1, 2, 5};
     double[] got = new double[weights.length];
     for (int group = 0; group < weights.length; group++) {
@@ -40,8 +40,8 @@
     for (int i = 0; i < 3_000; i++) {
       int next = 0;
       for (int group = 1; group < weights.length; group++) {
-        double place = order.place(request("w" + group, 1), weights[group], false);
-        next = place < order.place(request("w" + next, 1), weights[next], false) ? group : next;
+        double place = order.sortKey(request("w" + group, 1), weights[group], false);
+        next = place < order.sortKey(request("w" + next, 1), weights[next], false) ? group : next;
       }
       long tokens = 1 + random.nextInt(1_000);
       order.dispatched(request("w" + next, tokens), weights[next]);
@@ -55,21 +55,21 @@
 
   @Test
   void groupAloneIsNeverOverItsShare() {
-    FairWorkOrder order = new FairWorkOrder(0);
+    WeightedFairOrder order = new WeightedFairOrder(0);
     for (int i = 0; i < 100; i++) {
       order.dispatched(request("a", 100_000), 1);
     }
-    assertFalse(order.overShare(request("a", 1)));
+    assertFalse(order.isOverShare(request("a", 1)));
   }
 
   @Test
   void groupThatTakesMoreThanOthersIsOverItsShareAndOthersAreNot() {
-    FairWorkOrder order = new FairWorkOrder(0);
+    WeightedFairOrder order = new WeightedFairOrder(0);
     for (int i = 0; i < 100; i++) {
       order.dispatched(request("a", 100_000), 1);
       order.dispatched(request("b", 10_000), 1);
     }
-    assertTrue(order.overShare(request("a", 1)));
-    assertFalse(order.overShare(request("b", 1)));
+    assertTrue(order.isOverShare(request("a", 1)));
+    assertFalse(order.isOverShare(request("b", 1)));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/LostAttemptsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/LostAttemptsTest.java
@@ -30,7 +30,7 @@
   private static final NumberedContent OTHER = new NumberedContent(2);
 
   private void loses(NumberedContent request) {
-    lost.add(new LostAttempts.Lost(request, ENGINE, nowMs - RUN_MS, nowMs));
+    lost.add(new LostAttempts.LostAttempt(request, ENGINE, nowMs - RUN_MS, nowMs));
   }
 
   private void pass(long ms) {
@@ -43,7 +43,7 @@
   }
 
   private void startIsOver() {
-    lost.startedAgain(ENGINE::equals, nowMs)
+    lost.takeSuperseded(ENGINE::equals, nowMs)
         .forEach(
             one ->
                 ledger.startIsOver(
@@ -57,8 +57,8 @@
   void whatBrokeShortlyBeforeAnEndIsPutToThatEnd() {
     loses(OTHER);
     pass(LATER_MS);
-    List<LostAttempts.Lost> with = lost.endedWith(ENGINE, nowMs);
-    assertEquals(List.of(nowMs), with.stream().map(LostAttempts.Lost::atMs).toList());
+    List<LostAttempts.LostAttempt> with = lost.takeTerminatedWith(ENGINE, nowMs);
+    assertEquals(List.of(nowMs), with.stream().map(LostAttempts.LostAttempt::atMs).toList());
   }
 
   @Test
@@ -89,10 +89,10 @@
   void withoutAnyProofItCountsWhenTheNextStartIsKnown() {
     for (int i = 0; i < 3; i++) {
       HostIdentity engine = new HostIdentity("e-" + i, 1);
-      lost.add(new LostAttempts.Lost(DEADLY, engine, nowMs - RUN_MS, nowMs));
+      lost.add(new LostAttempts.LostAttempt(DEADLY, engine, nowMs - RUN_MS, nowMs));
       pass(LATER_MS);
       assertNotEquals(CrashVerdict.REFUSED, ledger.verdict(DEADLY, nowMs));
-      lost.startedAgain(engine::equals, nowMs)
+      lost.takeSuperseded(engine::equals, nowMs)
           .forEach(
               one -> ledger.startIsOver(one.endpoint(), DEADLY.print(), one.sentMs(), one.atMs()));
       pass(LATER_MS);
--- a/org.fawndrum/tst/org/fawndrum/coordination/StopWindowTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/StopWindowTest.java
@@ -20,7 +20,7 @@
   }
 
   private static boolean takes(long sinceOrderMs, long limitMs) {
-    return usual().takes(ORDERED_MS + sinceOrderMs, ORDERED_MS + sinceOrderMs + limitMs);
+    return usual().accepts(ORDERED_MS + sinceOrderMs, ORDERED_MS + sinceOrderMs + limitMs);
   }
 
   @Test
@@ -72,12 +72,12 @@
 
   @Test
   void aHostThatNobodyToldToStopTakesEverything() {
-    assertTrue(StopWindow.OPEN.takes(ORDERED_MS, Long.MAX_VALUE));
+    assertTrue(StopWindow.UNRESTRICTED.accepts(ORDERED_MS, Long.MAX_VALUE));
   }
 
   @Test
   void aClosedWindowTakesNothing() {
-    assertFalse(StopWindow.CLOSED.takes(0, 1));
+    assertFalse(StopWindow.CLOSED.accepts(0, 1));
   }
 
   @Property(tries = 2_000, seed = "43")
@@ -89,7 +89,7 @@
     boolean early = sinceOrderMs < 3_000 && sinceOrderMs * 8 < graceMs * 3;
     boolean inTime = sinceOrderMs + limitMs < graceMs;
     long nowMs = ORDERED_MS + sinceOrderMs;
-    assertTrue(early || inTime || !window.takes(nowMs, nowMs + limitMs));
+    assertTrue(early || inTime || !window.accepts(nowMs, nowMs + limitMs));
     assertTrue(window.endMs() >= ORDERED_MS && window.endMs() <= window.goneMs());
     assertTrue(window.goneMs() <= ORDERED_MS + graceMs);
     assertTrue(window.endMs(limitMs) >= ORDERED_MS && window.endMs(limitMs) <= window.endMs());
--- a/org.fawndrum/tst/org/fawndrum/coordination/SweepRuleTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/SweepRuleTest.java
@@ -55,7 +55,7 @@
       known.alive = random.nextInt(8) == 0;
       seenMs = known.listed || known.alive ? nowMs : seenMs;
       List<HostIdentity> swept = rule.sweepable(Set.of(OWNER), known, nowMs);
-      assertTrue(swept.isEmpty() || nowMs - seenMs >= SweepRule.GONE_MS);
+      assertTrue(swept.isEmpty() || nowMs - seenMs >= SweepRule.MIN_ABSENCE_MS);
     }
   }
 
@@ -64,8 +64,8 @@
     SweepRule rule = new SweepRule();
     Knowledge known = new Knowledge();
     assertEquals(List.of(), rule.sweepable(Set.of(OWNER), known, 0));
-    assertEquals(List.of(), rule.sweepable(Set.of(OWNER), known, SweepRule.GONE_MS - 1));
-    assertEquals(List.of(OWNER), rule.sweepable(Set.of(OWNER), known, SweepRule.GONE_MS));
+    assertEquals(List.of(), rule.sweepable(Set.of(OWNER), known, SweepRule.MIN_ABSENCE_MS - 1));
+    assertEquals(List.of(OWNER), rule.sweepable(Set.of(OWNER), known, SweepRule.MIN_ABSENCE_MS));
   }
 
   @Test
@@ -75,7 +75,7 @@
     known.listed = true;
     known.replaced = true;
     rule.sweepable(Set.of(OWNER), known, 0);
-    assertEquals(List.of(OWNER), rule.sweepable(Set.of(OWNER), known, SweepRule.GONE_MS));
+    assertEquals(List.of(OWNER), rule.sweepable(Set.of(OWNER), known, SweepRule.MIN_ABSENCE_MS));
   }
 
   @Property(tries = 500, seed = "82")
