--- a/org.fawndrum/tst/org/fawndrum/coordination/AnswerAssemblerTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/AnswerAssemblerTest.java
@@ -12,7 +12,7 @@
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
-/** An answer is handed on in order, once and whole, or is not called whole. */
+/** An answer is delivered in order, once and completely, or is not reported as complete. */
 class AnswerAssemblerTest {
   private static final HostIdentity OWNER = new HostIdentity("a", 1);
 
@@ -24,7 +24,7 @@
     return "t" + at + " ";
   }
 
-  private static String whole(long count) {
+  private static String wholeAnswer(long count) {
     StringBuilder text = new StringBuilder();
     for (long at = 0; at < count; at++) {
       text.append(text(at));
@@ -32,50 +32,50 @@
     return text.toString();
   }
 
-  /** Plays attempts whose chunks are late, crossed, repeated, missing and out of order. */
+  /** Simulates attempts whose chunks are late, mixed up, repeated, missing or out of order. */
   @Property(tries = 5_000, seed = "11")
-  void neverCallsACutOrCrossedAnswerWhole(@ForAll long seed) {
+  void neverReportsATruncatedOrMixedAnswerAsComplete(@ForAll long seed) {
     Random random = new Random(seed);
     long count = random.nextInt(30);
     AnswerAssembler assembler = new AnswerAssembler();
-    StringBuilder got = new StringBuilder();
+    StringBuilder delivered = new StringBuilder();
     Result last = Result.NOTHING;
     for (int number = 1; number <= 4 && last != Result.WHOLE; number++) {
-      last = playAttempt(random, assembler, number, count, got);
+      last = runAttempt(random, assembler, number, count, delivered);
     }
-    assertTrue(whole(count).startsWith(got.toString()), got.toString());
+    assertTrue(wholeAnswer(count).startsWith(delivered.toString()), delivered.toString());
     if (last == Result.WHOLE) {
-      assertEquals(whole(count), got.toString());
+      assertEquals(wholeAnswer(count), delivered.toString());
     }
   }
 
-  private static Result playAttempt(
-      Random random, AnswerAssembler assembler, int number, long count, StringBuilder got) {
+  private static Result runAttempt(
+      Random random, AnswerAssembler assembler, int number, long count, StringBuilder delivered) {
     AttemptId attempt = attempt(number);
     assembler.begin(attempt);
     Result result = Result.NOTHING;
     long next = assembler.position();
     for (int step = 0; step < 120; step++) {
-      int chance = random.nextInt(100);
-      if (chance < 60 && next < count) {
+      int roll = random.nextInt(100);
+      if (roll < 60 && next < count) {
         result = assembler.chunk(attempt, next, text(next++));
-      } else if (chance < 70) {
+      } else if (roll < 70) {
         result = assembler.chunk(attempt(number + 1), next, "crossed ");
-      } else if (chance < 78) {
+      } else if (roll < 78) {
         result = assembler.chunk(attempt(Math.max(0, number - 1)), next, "late ");
-      } else if (chance < 86 && next > 0) {
-        // A position that never came is repeated as it is; one that came, with a text that shows.
+      } else if (roll < 86 && next > 0) {
+        // Chunks not delivered yet are repeated with the same text, others with a text that shows.
         long at = random.nextInt((int) next);
-        String again = at < assembler.position() ? "repeated " : text(at);
-        result = assembler.chunk(attempt, at, again);
-      } else if (chance < 89 && next < count) {
+        String repeatedText = at < assembler.position() ? "repeated " : text(at);
+        result = assembler.chunk(attempt, at, repeatedText);
+      } else if (roll < 89 && next < count) {
         next++;
-      } else if (chance < 92 && next + 1 < count) {
+      } else if (roll < 92 && next + 1 < count) {
         result = assembler.chunk(attempt, next + 1, text(next + 1));
       } else if (next >= count) {
         result = assembler.end(attempt, count);
       }
-      assembler.takeReady().forEach(got::append);
+      assembler.takeReady().forEach(delivered::append);
       if (result == Result.WHOLE || result == Result.CUT) {
         return result;
       }
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void repeatedChunkWithOtherTextIsDropped() {
+  void repeatedChunkWithDifferentTextIsDropped() {
     AnswerAssembler assembler = new AnswerAssembler();
     assembler.begin(attempt(1));
     assembler.chunk(attempt(1), 0, "a");
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void endBeforeAllChunksIsNotWholeUntilTheyCome() {
+  void endMarkBeforeLastChunkCompletesWhenItArrives() {
     AnswerAssembler assembler = new AnswerAssembler();
     assembler.begin(attempt(1));
     assertEquals(Result.NOTHING, assembler.end(attempt(1), 2));
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void endThatCountsLessThanWasHandedOnIsCut() {
+  void endMarkBelowDeliveredCountIsTruncated() {
     AnswerAssembler assembler = new AnswerAssembler();
     assembler.begin(attempt(1));
     assembler.chunk(attempt(1), 0, "a");
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void tooManyEarlyChunksAreACut() {
+  void tooManyOutOfOrderChunksAreTruncated() {
     AnswerAssembler assembler = new AnswerAssembler();
     assembler.begin(attempt(1));
     Result result = Result.NOTHING;
--- a/org.fawndrum/tst/org/fawndrum/coordination/AttemptStatesTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/AttemptTransitionsTest.java
@@ -9,29 +9,30 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** "Not run" is said only while nothing can have been sent, or on somebody's word. */
-class AttemptStatesTest {
+/** An attempt is "not run" only if nothing can have been sent or this was reported explicitly. */
+class AttemptTransitionsTest {
   @Property(tries = 5_000, seed = "12")
-  void notRunNeedsAWord(@ForAll List<AttemptEvent> events) {
+  void notRunRequiresNothingSentOrAnExplicitReport(@ForAll List<AttemptEvent> events) {
     AttemptState state = AttemptState.WAITING;
     boolean sending = false;
-    boolean word = false;
-    boolean showed = false;
+    boolean reportedNotRun = false;
+    boolean wasRunning = false;
     for (AttemptEvent event : events) {
       sending |= event == AttemptEvent.SENDING && !state.ended();
-      word |= event == AttemptEvent.CONNECT_FAILED || event == AttemptEvent.REFUSED_BY_ENDPOINT;
-      word |= event == AttemptEvent.ENDPOINT_RESTS;
+      reportedNotRun |=
+          event == AttemptEvent.CONNECT_FAILED || event == AttemptEvent.REFUSED_BY_ENDPOINT;
+      reportedNotRun |= event == AttemptEvent.ENDPOINT_RESTS;
       state = AttemptTransitions.next(state, event);
-      showed |= state == AttemptState.RUNNING;
+      wasRunning |= state == AttemptState.RUNNING;
       if (state.ran() == Ran.NO) {
-        assertTrue(!sending || word, events.toString());
-        assertTrue(!showed, events.toString());
+        assertTrue(!sending || reportedNotRun, events.toString());
+        assertTrue(!wasRunning, events.toString());
       }
     }
   }
 
   @Property(tries = 2_000, seed = "13")
-  void endedStaysEndedAndNeverBecomesNotRun(@ForAll List<AttemptEvent> events) {
+  void finalStateStaysFinalAndNeverBecomesNotRun(@ForAll List<AttemptEvent> events) {
     AttemptState state = AttemptState.WAITING;
     for (AttemptEvent event : events) {
       AttemptState before = state;
@@ -44,7 +45,7 @@
   }
 
   @Test
-  void lostAfterSendingIsUnknown() {
+  void connectionLostAfterSendingIsUnknown() {
     AttemptState sent = AttemptTransitions.next(AttemptState.WAITING, AttemptEvent.SENDING);
     assertEquals(Ran.UNKNOWN, AttemptTransitions.next(sent, AttemptEvent.LOST).ran());
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/CoordinatorHistoryTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/CoordinatorHistoryTest.java
@@ -26,9 +26,9 @@
 import org.fawndrum.state.TableRevision;
 
 /**
- * Random histories of requests against endpoints that answer, refuse, fail, fall silent and leave:
- * every admitted request gets exactly one end within its time, "not run" is true, and what may not
- * be repeated is sent at most once.
+ * Simulates random histories of requests against endpoints that answer, refuse, fail, stall and
+ * drain. Every admitted request must complete exactly once before its deadline, "not run" must be
+ * true, and a request that must not be repeated is sent at most once.
  */
 class CoordinatorHistoryTest {
   private static final HostIdentity SELF = new HostIdentity("host", 1);
@@ -36,13 +36,13 @@
   private static final long DEADLINE_MS = 5_000;
 
   @Property(tries = 1_500, seed = "41")
-  void everyRequestEndsOnceWithinItsTime(@ForAll long seed) {
-    new History(seed).play();
+  void everyRequestCompletesOnceBeforeItsDeadline(@ForAll long seed) {
+    new History(seed).run();
   }
 
   @Property(tries = 1_000, seed = "42")
-  void everyRequestEndsOnceWhenItsHostStops(@ForAll long seed) {
-    new History(seed).playUntilTheHostEnds();
+  void everyRequestCompletesOnceWhenItsHostShutsDown(@ForAll long seed) {
+    new History(seed).runUntilShutdown();
   }
 
   private static final class History {
@@ -50,10 +50,10 @@
     private final RequestCoordinator coordinator;
     private final Map<String, Long> arrived = new HashMap<>();
     private final Map<String, Boolean> repeatable = new HashMap<>();
-    private final Set<String> ended = new HashSet<>();
+    private final Set<String> completed = new HashSet<>();
     private final Map<String, Integer> mayHaveRun = new HashMap<>();
-    private final Map<AttemptId, Endpoint> onTheWay = new HashMap<>();
-    private final Set<String> sentAtAll = new HashSet<>();
+    private final Map<AttemptId, Endpoint> inFlight = new HashMap<>();
+    private final Set<String> everSent = new HashSet<>();
     private long nowMs = 1_000;
 
     History(long seed) {
@@ -66,7 +66,7 @@
           };
       coordinator = new RequestCoordinator(SELF, "z", policies);
       coordinator.table(table(), nowMs);
-      offerSome();
+      updateEndpoints();
     }
 
     private static TableRevision table() {
@@ -83,7 +83,7 @@
           .call();
     }
 
-    private void offerSome() {
+    private void updateEndpoints() {
       List<Endpoint> endpoints = new ArrayList<>();
       for (int i = 0; i < random.nextInt(4); i++) {
         for (EndpointKind kind : EndpointKind.values()) {
@@ -98,19 +98,19 @@
                   100_000));
         }
       }
-      take(coordinator.endpoints(endpoints, nowMs));
+      apply(coordinator.endpoints(endpoints, nowMs));
     }
 
-    void play() {
+    void run() {
       for (int step = 0; step < 150; step++) {
         step();
       }
       nowMs += DEADLINE_MS + 1;
-      take(coordinator.tick(nowMs));
-      nothingIsLeft();
+      apply(coordinator.tick(nowMs));
+      assertNothingLeft();
     }
 
-    void playUntilTheHostEnds() {
+    void runUntilShutdown() {
       for (int step = random.nextInt(100); step > 0; step--) {
         step();
       }
@@ -121,39 +121,39 @@
       while (nowMs < window.endMs()) {
         step();
       }
-      for (String id : sentAtAll) {
-        long at = arrived.get(id);
+      for (String id : everSent) {
+        long arrivedMs = arrived.get(id);
         assertTrue(
-            at < orderedMs + graceMs * 3 / 8 || at + DEADLINE_MS < window.endMs(),
-            id + " was taken and may not end in time");
+            arrivedMs < orderedMs + graceMs * 3 / 8 || arrivedMs + DEADLINE_MS < window.endMs(),
+            id + " was accepted and may not complete in time");
       }
-      take(coordinator.giveUpAll(nowMs));
-      assertEquals(Set.of(), onTheWay.keySet(), "attempts that nobody cancelled");
-      int sent = sentAtAll.size();
+      apply(coordinator.giveUpAll(nowMs));
+      assertEquals(Set.of(), inFlight.keySet(), "attempts that were not cancelled");
+      int sent = everSent.size();
       arrive();
-      assertEquals(sent, sentAtAll.size(), "sent after the host's end");
-      nothingIsLeft();
+      assertEquals(sent, everSent.size(), "sent after the shutdown");
+      assertNothingLeft();
     }
 
     private void step() {
       nowMs += random.nextInt(120);
-      int chance = random.nextInt(20);
-      if (chance < 6) {
+      int roll = random.nextInt(20);
+      if (roll < 6) {
         arrive();
-      } else if (chance < 15) {
+      } else if (roll < 15) {
         attemptEvent();
-      } else if (chance == 15) {
-        offerSome();
-      } else if (chance == 16 && !arrived.isEmpty()) {
+      } else if (roll == 15) {
+        updateEndpoints();
+      } else if (roll == 16 && !arrived.isEmpty()) {
         callerGone();
       } else {
-        take(coordinator.tick(nowMs));
-        nobodyIsOverdue();
+        apply(coordinator.tick(nowMs));
+        assertNoneOverdue();
       }
     }
 
-    private void nothingIsLeft() {
-      assertEquals(arrived.keySet(), ended);
+    private void assertNothingLeft() {
+      assertEquals(arrived.keySet(), completed);
       assertEquals(0, coordinator.open());
       assertEquals(0, coordinator.waiting());
     }
@@ -161,60 +161,62 @@
     private void arrive() {
       String id = "r" + arrived.size();
       EndpointKind kind = EndpointKind.values()[random.nextInt(2)];
-      boolean again = kind == EndpointKind.MODEL || random.nextBoolean();
+      boolean isRepeatable = kind == EndpointKind.MODEL || random.nextBoolean();
       long tokens = kind == EndpointKind.MODEL ? 1_000L << random.nextInt(8) : 0;
       arrived.put(id, nowMs);
-      repeatable.put(id, again);
+      repeatable.put(id, isRepeatable);
       RequestTarget target = new RequestTarget(kind, "target");
       RequestFacts facts =
-          new RequestFacts(id, GROUP, target, tokens, 16, nowMs, 0, again, List.of());
-      take(coordinator.arrive(facts, nowMs));
+          new RequestFacts(id, GROUP, target, tokens, 16, nowMs, 0, isRepeatable, List.of());
+      apply(coordinator.arrive(facts, nowMs));
     }
 
     private void attemptEvent() {
-      if (onTheWay.isEmpty()) {
+      if (inFlight.isEmpty()) {
         return;
       }
-      List<AttemptId> ids = new ArrayList<>(onTheWay.keySet());
+      List<AttemptId> ids = new ArrayList<>(inFlight.keySet());
       AttemptId id = ids.get(random.nextInt(ids.size()));
       AttemptEvent[] events = AttemptEvent.values();
       AttemptEvent event = events[1 + random.nextInt(events.length - 1)];
       if (event == AttemptEvent.ANSWERED) {
-        ended.add(id.requestId());
+        completed.add(id.requestId());
       }
-      boolean word =
+      boolean reportedNotRun =
           event == AttemptEvent.CONNECT_FAILED
               || event == AttemptEvent.ENDPOINT_RESTS
               || event == AttemptEvent.REFUSED_BY_ENDPOINT;
-      boolean started = onTheWay.get(id) == null;
-      if (word && !started) {
+      boolean started = inFlight.get(id) == null;
+      if (reportedNotRun && !started) {
         mayHaveRun.merge(id.requestId(), -1, Integer::sum);
       }
       if (event == AttemptEvent.ANSWERING) {
-        onTheWay.put(id, null);
+        inFlight.put(id, null);
       } else if (event != AttemptEvent.STALLED) {
-        // One that stalls goes on until it is cancelled.
-        onTheWay.remove(id);
+        // A stalled attempt continues until it is cancelled.
+        inFlight.remove(id);
       }
-      take(coordinator.attempt(id, event, nowMs));
+      apply(coordinator.attempt(id, event, nowMs));
     }
 
     private void callerGone() {
       List<String> ids = new ArrayList<>(arrived.keySet());
-      take(coordinator.callerGone(ids.get(random.nextInt(ids.size())), nowMs));
+      apply(coordinator.callerGone(ids.get(random.nextInt(ids.size())), nowMs));
     }
 
-    private void nobodyIsOverdue() {
+    private void assertNoneOverdue() {
       arrived.forEach(
-          (id, at) -> assertTrue(ended.contains(id) || nowMs < at + DEADLINE_MS, id + " overdue"));
+          (id, arrivedMs) ->
+              assertTrue(
+                  completed.contains(id) || nowMs < arrivedMs + DEADLINE_MS, id + " overdue"));
     }
 
-    private void take(List<Action> actions) {
+    private void apply(List<Action> actions) {
       for (Action action : actions) {
         if (action instanceof Action.Send send) {
           sent(send);
         } else if (action instanceof Action.Cancel cancel) {
-          onTheWay.remove(cancel.attempt());
+          inFlight.remove(cancel.attempt());
         } else if (action instanceof Action.Refuse refuse) {
           refused(refuse);
         }
@@ -223,18 +225,19 @@
 
     private void sent(Action.Send send) {
       String id = send.attempt().requestId();
-      assertTrue(!ended.contains(id), id + " sent after its end");
+      assertTrue(!completed.contains(id), id + " sent after completion");
       int before = mayHaveRun.merge(id, 1, Integer::sum);
       assertTrue(repeatable.get(id) || before == 1, id + " may run twice");
-      onTheWay.put(send.attempt(), send.endpoint());
-      sentAtAll.add(id);
+      inFlight.put(send.attempt(), send.endpoint());
+      everSent.add(id);
     }
 
     private void refused(Action.Refuse refuse) {
       String id = refuse.requestId();
-      assertTrue(ended.add(id), id + " ended twice");
+      assertTrue(completed.add(id), id + " completed twice");
       if (refuse.refusal().ran() == Ran.NO) {
-        assertEquals(0, mayHaveRun.getOrDefault(id, 0), id + " said not run, may have run");
+        assertEquals(
+            0, mayHaveRun.getOrDefault(id, 0), id + " reported as not run, but may have run");
       }
     }
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/ExplainerTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/DecisionRecorderTest.java
@@ -18,16 +18,16 @@
 import org.fawndrum.state.Row;
 import org.junit.jupiter.api.Test;
 
-/** What the record of each kind of decision says, field by field. */
-class ExplainerTest {
+/** The fields of the record of each kind of decision. */
+class DecisionRecorderTest {
   private static final CallerGroup GROUP = new CallerGroup("desk", "ask");
   private static final RequestTarget TARGET = new RequestTarget(EndpointKind.MODEL, "pool");
   private static final RequestFacts FACTS =
       new RequestFacts("r-1", GROUP, TARGET, 5_000, 100, 1_000, 0, true, List.of());
   private static final List<PassedOver> PASSED_OVER = List.of(new PassedOver("engine-3", 90));
 
-  private final List<Action> out = new ArrayList<>();
-  private final DecisionRecorder explainer = new DecisionRecorder(out);
+  private final List<Action> actions = new ArrayList<>();
+  private final DecisionRecorder recorder = new DecisionRecorder(actions);
   private final OpenRequest request = new OpenRequest(FACTS, Row.EMPTY, 16_000, 0);
   private final Placement.Choice choice =
       new Placement.Choice(
@@ -56,7 +56,7 @@
         new AttemptId(new HostIdentity("host-1", 1), "r-1", 2), choice, 1_040);
   }
 
-  private static Optional<Reading> reading(long tookMs) {
+  private static Optional<Reading> prefill(long tookMs) {
     return Optional.of(new Reading(List.of(name(1), name(2)), 70, tookMs));
   }
 
@@ -64,8 +64,8 @@
     return engine(number).endpoint().name();
   }
 
-  /** Checks the only record; what it says of the request is the same in all. */
-  private void said(
+  /** Checks the only record. Its request fields are the same in all tests. */
+  private void assertDecision(
       long atMs,
       DecisionKind kind,
       Reason reason,
@@ -74,7 +74,7 @@
       Optional<CellKey> cell,
       Optional<Refusal> refusal,
       List<PassedOver> passedOver,
-      Optional<Reading> reading) {
+      Optional<Reading> prefill) {
     Decision expected =
         new Decision(
             "r-1",
@@ -90,13 +90,13 @@
             cell,
             refusal,
             passedOver,
-            reading);
-    assertEquals(List.of(new Action.Explain(expected)), out);
+            prefill);
+    assertEquals(List.of(new Action.Explain(expected)), actions);
   }
 
-  /** Checks the only record, which names no endpoint. */
-  private void saidOfRequest(DecisionKind kind, Reason reason) {
-    said(
+  /** Checks the only record, which has no endpoint. */
+  private void assertRequestDecision(DecisionKind kind, Reason reason) {
+    assertDecision(
         1_010,
         kind,
         reason,
@@ -109,31 +109,31 @@
   }
 
   @Test
-  void admittedNamesNoEndpoint() {
-    explainer.admitted(FACTS, 1_010);
-    saidOfRequest(DecisionKind.ADMITTED, Reason.WITHIN_LIMITS);
+  void admittedHasNoEndpoint() {
+    recorder.admitted(FACTS, 1_010);
+    assertRequestDecision(DecisionKind.ADMITTED, Reason.WITHIN_LIMITS);
   }
 
   @Test
-  void waitingNamesNoEndpoint() {
-    explainer.waiting(request, 1_010);
-    saidOfRequest(DecisionKind.WAITING, Reason.ENDPOINTS_BUSY);
+  void waitingHasNoEndpoint() {
+    recorder.waiting(request, 1_010);
+    assertRequestDecision(DecisionKind.WAITING, Reason.ENDPOINTS_BUSY);
   }
 
   @Test
-  void placedNamesTheShareWhatWasPassedOverAndHowItIsRead() {
-    explainer.placed(request, choice, 1, 1_040);
-    saidPlaced(Reason.SEVERAL_ENGINES, 1);
+  void placedHasTheShareCellPassedOverEndpointsAndPrefill() {
+    recorder.placed(request, choice, 1, 1_040);
+    assertPlaced(Reason.SEVERAL_ENGINES, 1);
   }
 
   @Test
-  void placedAgainNamesTheFailureAsTheCause() {
-    explainer.placed(request, choice, 2, 1_040);
-    saidPlaced(Reason.ENDPOINT_FAILED, 2);
+  void retriedPlacementHasTheFailureAsReason() {
+    recorder.placed(request, choice, 2, 1_040);
+    assertPlaced(Reason.ENDPOINT_FAILED, 2);
   }
 
-  private void saidPlaced(Reason reason, int attempt) {
-    said(
+  private void assertPlaced(Reason reason, int attempt) {
+    assertDecision(
         1_040,
         DecisionKind.PLACED,
         reason,
@@ -142,13 +142,13 @@
         Optional.of(new CellKey(GROUP, Column.SHARE)),
         Optional.empty(),
         PASSED_OVER,
-        reading(Reading.NOT_YET));
+        prefill(Reading.NOT_YET));
   }
 
   @Test
-  void aFirstTokenTellsHowLongTheReadingTook() {
-    explainer.firstToken(request, attempt(), 1_120);
-    said(
+  void firstTokenHasTheActualPrefillTime() {
+    recorder.firstToken(request, attempt(), 1_120);
+    assertDecision(
         1_120,
         DecisionKind.FIRST_TOKEN,
         Reason.COMPLETE,
@@ -157,14 +157,14 @@
         Optional.empty(),
         Optional.empty(),
         List.of(),
-        reading(80));
+        prefill(80));
   }
 
   @Test
-  void anAttemptNamesItsEndpointAndNumber() {
-    explainer.attempt(
+  void attemptHasItsEndpointAndNumber() {
+    recorder.attempt(
         request, attempt(), DecisionKind.ATTEMPT_FAILED, Reason.ENDPOINT_FAILED, 1_200);
-    said(
+    assertDecision(
         1_200,
         DecisionKind.ATTEMPT_FAILED,
         Reason.ENDPOINT_FAILED,
@@ -177,11 +177,11 @@
   }
 
   @Test
-  void aRefusalNamesTheCellThatDecided() {
+  void refusalHasTheCellThatDecided() {
     CellKey cell = new CellKey(GROUP, Column.DEADLINE_MS);
     Refusal refusal = new Refusal(RefusalKind.values()[0], Ran.NO, 250, Optional.of(cell));
-    explainer.refused(FACTS, refusal, Reason.ENDPOINTS_BUSY, 1_300);
-    said(
+    recorder.refused(FACTS, refusal, Reason.ENDPOINTS_BUSY, 1_300);
+    assertDecision(
         1_300,
         DecisionKind.REFUSED,
         Reason.ENDPOINTS_BUSY,
--- a/org.fawndrum/tst/org/fawndrum/coordination/LimitPartsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/LimitFractionsTest.java
@@ -24,7 +24,7 @@
 import org.fawndrum.state.TableRevision;
 
 /** The hosts of one listing together admit no more than the table's limits. */
-class LimitPartsTest {
+class LimitFractionsTest {
   private static final HostAddress ADDRESS = new HostAddress("127.0.0.1", 1);
   private static final CallerGroup GROUP = new CallerGroup("w", "c");
   private static final long PER_SECOND = 120;
@@ -43,7 +43,7 @@
   }
 
   @Property(tries = 200, seed = "96")
-  void partsAddUpToTheWhole(@ForAll long seed) {
+  void fractionsAddUpToOne(@ForAll long seed) {
     HostListing listing = listing(new Random(seed));
     double sum = 0;
     for (EntryHost host : listing.entryHosts()) {
@@ -71,9 +71,9 @@
       coordinator.limitPart(LimitParts.part(self, host.zone(), listing), 0);
       admitted += flood(coordinator);
     }
-    // Each host starts with a burst of two seconds of its part, and at least one request.
-    long most = PER_SECOND * (SECONDS + 2) + 2L * listing.entryHosts().size();
-    assertTrue(admitted <= most, admitted + " admitted, at most " + most);
+    // Each host starts with a burst of two seconds of its fraction, and at least one request.
+    long maxAdmitted = PER_SECOND * (SECONDS + 2) + 2L * listing.entryHosts().size();
+    assertTrue(admitted <= maxAdmitted, admitted + " admitted, at most " + maxAdmitted);
   }
 
   private static int flood(RequestCoordinator coordinator) {
--- a/org.fawndrum/tst/org/fawndrum/coordination/NumberedContent.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/NumberedContent.java
@@ -5,7 +5,7 @@
 import org.fawndrum.coordination.crash.RequestContent;
 import org.fawndrum.coordination.crash.RequestFingerprint;
 
-/** What a request asks, by a number. */
+/** Request content that is identified by a number. */
 record NumberedContent(long number) implements RequestContent {
   private static final long BYTES = 7;
 
@@ -16,10 +16,10 @@
 
   @Override
   public Optional<RequestFingerprint> fingerprint() {
-    return Optional.of(print());
+    return Optional.of(computeFingerprint());
   }
 
-  RequestFingerprint print() {
+  RequestFingerprint computeFingerprint() {
     return new RequestFingerprint(BYTES, number, number);
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/StopWindowTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/ShutdownWindowTest.java
@@ -10,78 +10,79 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** What a host that was told to stop takes. */
-class StopWindowTest {
+/** The requests that a host accepts after a stop order. */
+class ShutdownWindowTest {
   private static final long ORDERED_MS = 1_000_000;
   private static final long USUAL_GRACE_MS = 8_000;
 
-  private static StopWindow usual() {
+  private static StopWindow usualWindow() {
     return StopWindow.from(ORDERED_MS, USUAL_GRACE_MS);
   }
 
-  private static boolean takes(long sinceOrderMs, long limitMs) {
-    return usual().accepts(ORDERED_MS + sinceOrderMs, ORDERED_MS + sinceOrderMs + limitMs);
+  private static boolean accepts(long sinceOrderMs, long limitMs) {
+    return usualWindow().accepts(ORDERED_MS + sinceOrderMs, ORDERED_MS + sinceOrderMs + limitMs);
   }
 
   @Test
-  void atFirstEverythingIsTaken() {
-    assertTrue(takes(0, 600_000));
-    assertTrue(takes(2_799, 600_000));
+  void acceptsEverythingAtFirst() {
+    assertTrue(accepts(0, 600_000));
+    assertTrue(accepts(2_799, 600_000));
   }
 
   @Test
-  void afterThatWhatMayOutlastTheHostIsNot() {
-    assertFalse(takes(2_800, 10_000));
-    assertFalse(takes(5_248, 10_000));
-    assertFalse(takes(5_248, 2_152));
-    assertTrue(takes(5_248, 2_151));
-    assertTrue(takes(7_099, 300));
-    assertFalse(takes(7_100, 300));
+  void laterRejectsRequestsThatMayOutlastTheHost() {
+    assertFalse(accepts(2_800, 10_000));
+    assertFalse(accepts(5_248, 10_000));
+    assertFalse(accepts(5_248, 2_152));
+    assertTrue(accepts(5_248, 2_151));
+    assertTrue(accepts(7_099, 300));
+    assertFalse(accepts(7_100, 300));
   }
 
   @Test
-  void theHostEndsBeforeItIsEnded() {
-    assertEquals(ORDERED_MS + 7_400, usual().endMs());
-    assertEquals(ORDERED_MS + 7_850, usual().goneMs());
+  void hostShutsDownBeforeItIsKilled() {
+    assertEquals(ORDERED_MS + 7_400, usualWindow().endMs());
+    assertEquals(ORDERED_MS + 7_850, usualWindow().goneMs());
   }
 
   /**
-   * Seen: hosts on a machine with five times as much to do as it has cores were killed at the end
-   * of their grace period, with their last answers given 0.1 to 0.3 s before.
+   * Guards against this failure: hosts on a machine with five times more work than cores were
+   * killed at the end of their grace period, with their last answers sent 0.1 to 0.3 s before.
    */
   @Test
-  void aHostThatComesLateToItsWorkBeginsItsEndEarlier() {
-    assertEquals(ORDERED_MS + 7_000, usual().endMs(400));
-    assertEquals(ORDERED_MS + 7_400, usual().endMs(0));
+  void delayedHostStartsItsShutdownEarlier() {
+    assertEquals(ORDERED_MS + 7_000, usualWindow().endMs(400));
+    assertEquals(ORDERED_MS + 7_400, usualWindow().endMs(0));
     long lastSixthMs = ORDERED_MS + 6_667;
-    assertEquals(lastSixthMs, usual().endMs(60_000), "what an endpoint still works on goes on");
+    assertEquals(
+        lastSixthMs, usualWindow().endMs(60_000), "answers still being generated continue");
   }
 
   /**
-   * Seen: hosts that had stood still while the order to stop came counted their grace period from
-   * when they handled it, and were killed before they began their end.
+   * Guards against this failure: hosts that were paused when the stop order arrived counted their
+   * grace period from when they handled it, and were killed before they started their shutdown.
    */
   @Test
-  void anOrderThatMayHaveComeEarlierCountsFromThen() {
+  void graceCountsFromTheEarliestPossibleArrivalOfTheOrder() {
     long handledMs = ORDERED_MS + 1_900;
     StopWindow window = StopWindow.from(ORDERED_MS, handledMs, USUAL_GRACE_MS);
-    assertEquals(usual().endMs(), window.endMs());
+    assertEquals(usualWindow().endMs(), window.endMs());
     StopWindow late = StopWindow.from(handledMs - 60_000, handledMs, USUAL_GRACE_MS);
-    assertEquals(handledMs + 3_400, late.endMs(), "half is left for what is in progress");
+    assertEquals(handledMs + 3_400, late.endMs(), "half is left for requests in progress");
   }
 
   @Test
-  void aHostThatNobodyToldToStopTakesEverything() {
+  void unrestrictedWindowAcceptsEverything() {
     assertTrue(StopWindow.UNRESTRICTED.accepts(ORDERED_MS, Long.MAX_VALUE));
   }
 
   @Test
-  void aClosedWindowTakesNothing() {
+  void closedWindowAcceptsNothing() {
     assertFalse(StopWindow.CLOSED.accepts(0, 1));
   }
 
   @Property(tries = 2_000, seed = "43")
-  void whateverIsTakenComesEarlyOrEndsInTime(
+  void acceptedRequestsAreEarlyOrCompleteInTime(
       @ForAll @LongRange(min = 0, max = 120_000) long graceMs,
       @ForAll @LongRange(min = 0, max = 130_000) long sinceOrderMs,
       @ForAll @LongRange(min = 1, max = 130_000) long limitMs) {
--- a/org.fawndrum/tst/org/fawndrum/coordination/StalledAttemptTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/StalledAttemptTest.java
@@ -23,22 +23,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An attempt that stalls makes way for another one, and only for that.
+ * A stalled attempt is ended only to be replaced by another attempt.
  *
- * <p>What was seen: a host that was stopping, with all engines under load and none in trouble, cut
- * an answer in the middle 6 s after it had taken the request, 2 s before its own end. How it came
- * about: the first engine paused for longer than the limit, so another one went on; that paused as
- * long. Cause: a stalled attempt was ended also when the request could not be sent again, so that
- * the host itself broke off an answer that its engine was still writing. What proved it: the lines
- * of the request, which end with the refusal to send it a third time, and the engine's run, cut at
- * the same moment.
+ * <p>Guards against this failure: a host that was shutting down, with all engines under load but
+ * healthy, truncated an answer 6 s after it had accepted the request, 2 s before its own shutdown.
+ * Two engines in turn had paused for longer than the stall limit. The host ended the second attempt
+ * although the request could not be sent a third time, and so cut off an answer that its engine was
+ * still generating.
  */
 class StalledAttemptTest {
   private static final CallerGroup GROUP = new CallerGroup("desk", "ask");
   private static final RequestTarget TARGET = new RequestTarget(EndpointKind.MODEL, "pool");
 
-  /** The most endpoints that the request may be sent to. */
-  private static final int MOST = 2;
+  /** Maximum number of endpoints that the request may be sent to. */
+  private static final int MAX_ATTEMPTS = 2;
 
   private final RequestCoordinator coordinator =
       new RequestCoordinator(new HostIdentity("host-1", 1), "z", Policies.standard());
@@ -66,7 +64,7 @@
         100_000);
   }
 
-  private void take(List<Action> actions) {
+  private void apply(List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof Action.Send send) {
         sent.add(send);
@@ -76,8 +74,8 @@
     }
   }
 
-  private void ask() {
-    take(
+  private void arrive() {
+    apply(
         coordinator.arrive(
             new RequestFacts(
                 "r-1",
@@ -89,53 +87,53 @@
                 0,
                 true,
                 List.of(),
-                new RequestAims(300, 250, MOST)),
+                new RequestAims(300, 250, MAX_ATTEMPTS)),
             nowMs));
   }
 
-  private void happens(AttemptEvent event) {
+  private void attemptEvent(AttemptEvent event) {
     nowMs += 1_000;
-    take(coordinator.attempt(sent.get(sent.size() - 1).attempt(), event, nowMs));
+    apply(coordinator.attempt(sent.get(sent.size() - 1).attempt(), event, nowMs));
   }
 
   @Test
-  void aStalledAttemptMakesWayForAnother() {
-    ask();
-    happens(AttemptEvent.ANSWERING);
-    happens(AttemptEvent.STALLED);
+  void stalledAttemptIsReplacedByAnother() {
+    arrive();
+    attemptEvent(AttemptEvent.ANSWERING);
+    attemptEvent(AttemptEvent.STALLED);
     assertEquals(2, sent.size());
   }
 
   @Test
-  void theLastAttemptGoesOnAlsoIfOnlyAnEarlierOneHasBegunTheAnswer() {
-    ask();
-    happens(AttemptEvent.ANSWERING);
-    happens(AttemptEvent.STALLED);
+  void lastAttemptContinuesIfAnEarlierOneBeganTheAnswer() {
+    arrive();
+    attemptEvent(AttemptEvent.ANSWERING);
+    attemptEvent(AttemptEvent.STALLED);
     others.clear();
-    happens(AttemptEvent.STALLED);
-    assertEquals(List.of(), others, "the answer is broken off");
+    attemptEvent(AttemptEvent.STALLED);
+    assertEquals(List.of(), others, "answer truncated");
   }
 
   @Test
-  void aCallerWhoHasNothingYetIsToldAtOnceThatNoOtherAttemptFollows() {
-    ask();
-    happens(AttemptEvent.STALLED);
+  void callerWithoutAnyAnswerIsRefusedAtOnceIfNoAttemptFollows() {
+    arrive();
+    attemptEvent(AttemptEvent.STALLED);
     others.clear();
-    happens(AttemptEvent.STALLED);
+    attemptEvent(AttemptEvent.STALLED);
     assertEquals(2, others.size(), "cancelled and refused: " + others);
     assertEquals(0, coordinator.open());
   }
 
   @Test
-  void theLastAttemptGoesOnHoweverLongItIsSilent() {
-    ask();
-    happens(AttemptEvent.STALLED);
-    happens(AttemptEvent.ANSWERING);
+  void lastAttemptThatBeganTheAnswerContinuesWhileStalled() {
+    arrive();
+    attemptEvent(AttemptEvent.STALLED);
+    attemptEvent(AttemptEvent.ANSWERING);
     others.clear();
-    happens(AttemptEvent.STALLED);
-    assertEquals(List.of(), others, "the answer is broken off");
-    happens(AttemptEvent.ANSWERED);
+    attemptEvent(AttemptEvent.STALLED);
+    assertEquals(List.of(), others, "answer truncated");
+    attemptEvent(AttemptEvent.ANSWERED);
     assertEquals(0, coordinator.open());
-    assertTrue(others.isEmpty(), "ended otherwise than with its answer");
+    assertTrue(others.isEmpty(), "completed without its answer");
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/SuspectRequestsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/SuspectedRequestsTest.java
@@ -26,18 +26,20 @@
 import org.fawndrum.state.TableParts;
 import org.junit.jupiter.api.Test;
 
-/** What a host does with requests under which endpoints end, wherever it has them. */
-class SuspectRequestsTest {
+/** The handling of requests that crash endpoints, in every state that a request can be in. */
+class SuspectedRequestsTest {
   private static final EngineProfile PROFILE =
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
   private static final CallerGroup GROUP = new CallerGroup("desk", "ask");
   private static final RequestAims AIMS = new RequestAims(300, 250, 2);
 
-  /** Longer than crashes at one moment are apart, and than one takes to settle, in milliseconds. */
-  /** After how long an endpoint is back that ended, and not avoided any more, in milliseconds. */
-  private static final long BACK_MS = 600;
+  /**
+   * Time after which a crashed endpoint is back and no longer in failure backoff, in milliseconds.
+   */
+  private static final long RESTART_MS = 600;
 
-  private static final long LATER_MS = 250;
+  /** Longer than the gap between crashes of one burst, and than a crash takes to settle, in ms. */
+  private static final long SETTLED_MS = 250;
 
   private final RequestCoordinator coordinator =
       new RequestCoordinator(
@@ -46,15 +48,15 @@
           Policies.engineModel(new EarnedRetryBudget(0.1, 10), () -> false, Set::of));
   private long nowMs = 1_000;
 
-  SuspectRequestsTest() {
+  SuspectedRequestsTest() {
     Row row = Row.EMPTY.with(Column.DEADLINE_MS, new Cell("10000", 0, "ana"));
     coordinator.table(new TableParts(0, 0).row(GROUP, row).build(), nowMs);
-    offer(6);
+    updateEndpoints(6);
   }
 
-  private void offer(int engines) {
+  private void updateEndpoints(int engines) {
     coordinator.endpoints(
-        IntStream.range(0, engines).mapToObj(SuspectRequestsTest::engine).toList(), nowMs);
+        IntStream.range(0, engines).mapToObj(SuspectedRequestsTest::engine).toList(), nowMs);
   }
 
   private static Endpoint engine(int number) {
@@ -70,7 +72,7 @@
 
   private List<Action> arrive(String id, long content) {
     RequestTarget pool = new RequestTarget(EndpointKind.MODEL, "pool");
-    return decisive(
+    return sendsAndRefusals(
         coordinator.arrive(
             new RequestFacts(
                 id,
@@ -87,10 +89,10 @@
             nowMs));
   }
 
-  /** Leaves out what is only shown or told. */
-  private static List<Action> decisive(List<Action> actions) {
+  /** Returns only the actions that send or refuse a request. */
+  private static List<Action> sendsAndRefusals(List<Action> actions) {
     return actions.stream()
-        .filter(one -> one instanceof Action.Send || one instanceof Action.Refuse)
+        .filter(action -> action instanceof Action.Send || action instanceof Action.Refuse)
         .toList();
   }
 
@@ -104,40 +106,41 @@
     return ((Action.Refuse) actions.get(0)).refusal();
   }
 
-  /** The endpoint of an attempt ends under it. */
-  private List<Action> ends(Action.Send send) {
-    List<Action> done = new ArrayList<>(coordinator.endpointEnded(send.attempt(), nowMs));
-    done.addAll(coordinator.attempt(send.attempt(), AttemptEvent.LOST, nowMs));
-    return decisive(done);
+  /** The endpoint of an attempt crashes while it runs. */
+  private List<Action> crashEndpoint(Action.Send send) {
+    List<Action> actions = new ArrayList<>(coordinator.endpointEnded(send.attempt(), nowMs));
+    actions.addAll(coordinator.attempt(send.attempt(), AttemptEvent.LOST, nowMs));
+    return sendsAndRefusals(actions);
   }
 
-  private List<Action> later() {
-    nowMs += LATER_MS;
-    return decisive(coordinator.tick(nowMs));
+  private List<Action> advance() {
+    nowMs += SETTLED_MS;
+    return sendsAndRefusals(coordinator.tick(nowMs));
   }
 
-  /** Another host saw an endpoint end under a request. */
-  private List<Action> told(String endpoint, long content) {
-    RequestFingerprint request = new NumberedContent(content).print();
+  /** Another host reports the crash of an endpoint while it ran a request. */
+  private List<Action> crashReportedByPeer(String endpoint, long content) {
+    RequestFingerprint request = new NumberedContent(content).computeFingerprint();
     EndpointCrash crash =
         new EndpointCrash(new HostIdentity(endpoint, 1), nowMs, nowMs, Set.of(request));
-    CrashNews news = new CrashNews(List.of(crash), List.of(), List.of(), List.of());
-    return decisive(coordinator.suspects(one -> one.heard(news, nowMs), nowMs));
+    CrashNews update = new CrashNews(List.of(crash), List.of(), List.of(), List.of());
+    return sendsAndRefusals(
+        coordinator.suspects(suspected -> suspected.heard(update, nowMs), nowMs));
   }
 
   private void twoCrashesElsewhere(long content) {
-    told("f-1", content);
-    later();
-    told("f-2", content);
-    later();
+    crashReportedByPeer("f-1", content);
+    advance();
+    crashReportedByPeer("f-2", content);
+    advance();
   }
 
   @Test
-  void theThirdCrashEndsItsTryAndItIsRefusedFromThenOn() {
+  void requestIsRejectedFromTheThirdCrashOn() {
     twoCrashesElsewhere(1);
     Action.Send send = sent(arrive("r-1", 1));
-    assertEquals(List.of(), ends(send), "sent again before the crash has settled");
-    Refusal end = refused(later());
+    assertEquals(List.of(), crashEndpoint(send), "sent again before the crash has settled");
+    Refusal end = refused(advance());
     assertEquals(RefusalKind.ENDS_ENDPOINTS, end.kind());
     assertEquals(Ran.UNKNOWN, end.ran());
     assertEquals(Refusal.NEVER, end.retryAfterMs());
@@ -149,83 +152,86 @@
   }
 
   @Test
-  void whatIsHeldKeepsNobodyElseWaiting() {
+  void heldRequestDoesNotDelayOthers() {
     twoCrashesElsewhere(1);
-    told("f-3", 1);
+    crashReportedByPeer("f-3", 1);
     assertEquals(List.of(), arrive("r-1", 1));
     sent(arrive("r-2", 2));
-    assertEquals(Ran.NO, refused(later()).ran());
+    assertEquals(Ran.NO, refused(advance()).ran());
   }
 
   @Test
-  void whatIsHeldIsSentWhenSomebodyAnsweredItMeanwhile() {
+  void heldRequestIsSentAfterACopyWasAnswered() {
     Action.Send elsewhere = sent(arrive("r-1", 1));
     twoCrashesElsewhere(1);
-    told("f-3", 1);
+    crashReportedByPeer("f-3", 1);
     assertEquals(List.of(), arrive("r-2", 1));
-    List<Action> done =
-        decisive(coordinator.attempt(elsewhere.attempt(), AttemptEvent.ANSWERED, nowMs));
-    assertEquals("r-2", sent(done).attempt().requestId());
+    List<Action> actions =
+        sendsAndRefusals(coordinator.attempt(elsewhere.attempt(), AttemptEvent.ANSWERED, nowMs));
+    assertEquals("r-2", sent(actions).attempt().requestId());
   }
 
   @Test
-  void whatWaitsForAnEndpointIsRefusedToo() {
-    List<Action> before = new ArrayList<>();
+  void waitingRequestIsRejectedToo() {
+    List<Action> earlierSends = new ArrayList<>();
     for (int i = 0; i < 400 && coordinator.waiting() == 0; i++) {
-      before.addAll(arrive("r-" + i, 1));
+      earlierSends.addAll(arrive("r-" + i, 1));
     }
     assertEquals(1, coordinator.waiting());
     twoCrashesElsewhere(1);
-    told("f-3", 1);
+    crashReportedByPeer("f-3", 1);
     assertTrue(
-        later().stream().anyMatch(one -> one instanceof Action.Refuse), "still waits for its turn");
+        advance().stream().anyMatch(action -> action instanceof Action.Refuse), "still waiting");
     assertEquals(0, coordinator.waiting());
   }
 
-  /** Three endpoints ended under a request, and one without it, so that more are needed. */
+  /** Reports three crashes under a request and one without it, so that more are needed. */
   private void threeCrashesAmongOthers(long content) {
-    told("x-1", 99);
-    later();
+    crashReportedByPeer("x-1", 99);
+    advance();
     twoCrashesElsewhere(content);
-    told("f-3", content);
-    later();
+    crashReportedByPeer("f-3", content);
+    advance();
   }
 
   @Test
-  void oneCopyRunsAtATimeAndTheNextWhenNothingBecameOfIt() {
+  void oneCopyRunsAtATimeAndTheNextAfterARefusal() {
     threeCrashesAmongOthers(1);
     assertEquals(List.of(), arrive("r-1", 1));
     assertEquals(List.of(), arrive("r-2", 1));
-    Action.Send first = sent(later());
-    assertEquals(List.of(), later(), "two at a time");
+    Action.Send first = sent(advance());
+    assertEquals(List.of(), advance(), "two copies at a time");
     coordinator.attempt(first.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT, nowMs);
-    List<Action> done = later();
-    assertFalse(sent(done).attempt().requestId().equals(first.attempt().requestId()));
+    List<Action> actions = advance();
+    assertFalse(sent(actions).attempt().requestId().equals(first.attempt().requestId()));
   }
 
-  private List<Action> lost(Action.Send send) {
-    return decisive(coordinator.attempt(send.attempt(), AttemptEvent.LOST, nowMs));
+  private List<Action> loseConnection(Action.Send send) {
+    return sendsAndRefusals(coordinator.attempt(send.attempt(), AttemptEvent.LOST, nowMs));
   }
 
-  /** Seen: runs whose ends no host could prove were no evidence, and more followed. */
+  /**
+   * Guards against this failure: runs whose endpoint was not proved to have crashed were no
+   * evidence, and more runs followed.
+   */
   @Test
-  void afterThreeTurnsWithoutAnswerItsCallersAreAskedBackAtOnce() {
+  void requestIsQuarantinedAfterThreeUnansweredLeases() {
     threeCrashesAmongOthers(1);
     int sent = 0;
     for (int i = 0; i < 40; i++) {
       arrive("r-" + i, 1);
-      for (Action action : later()) {
+      for (Action action : advance()) {
         if (action instanceof Action.Send send) {
           sent++;
-          lost(send);
+          loseConnection(send);
         }
       }
     }
     assertEquals(3, sent);
-    Refusal later = refused(arrive("r-last", 1));
-    assertEquals(RefusalKind.QUARANTINED, later.kind());
-    assertEquals(Ran.NO, later.ran());
-    assertTrue(later.retryAfterMs() > 10_000, "asked back before it may run");
+    Refusal refusal = refused(arrive("r-last", 1));
+    assertEquals(RefusalKind.QUARANTINED, refusal.kind());
+    assertEquals(Ran.NO, refusal.ran());
+    assertTrue(refusal.retryAfterMs() > 10_000, "retry delay ends too early");
   }
 
   private int crashesKnown() {
@@ -233,13 +239,14 @@
   }
 
   /**
-   * Seen: of the first two engines that a request ended no host had proof, because their ports took
-   * connections a moment too long, or again. It ran four times more than it should have.
+   * Guards against this failure: the first two crashes under a request were not proved by any host,
+   * because the ports of the endpoints accepted connections a moment too long, or again. The
+   * request ran four times more than it should have.
    */
   @Test
-  void anEndThatIsProvedLaterCountsForWhatWasLostWithIt() {
+  void terminationProvedLaterExplainsTheLostConnection() {
     Action.Send first = sent(arrive("r-1", 1));
-    lost(first);
+    loseConnection(first);
     assertEquals(0, crashesKnown(), "a connection may break for other reasons");
     nowMs += 300;
     coordinator.restarted(first.endpoint().identity()::equals, nowMs);
@@ -249,21 +256,21 @@
   }
 
   @Test
-  void anEndThatAnotherHostSawCountsForWhatWasLostWithIt() {
+  void terminationSeenByAPeerExplainsTheLostConnection() {
     Action.Send first = sent(arrive("r-1", 1));
-    lost(first);
+    loseConnection(first);
     nowMs += 100;
-    told(first.endpoint().name(), 2);
+    crashReportedByPeer(first.endpoint().name(), 2);
     EndpointCrash crash = coordinator.suspects().all().crashes().get(0);
     assertEquals(2, crash.under().size(), crash.toString());
   }
 
   @Test
-  void anEndLongAfterAConnectionBrokeSaysNothingAboutIt() {
+  void terminationLongAfterTheLossDoesNotExplainIt() {
     Action.Send first = sent(arrive("r-1", 1));
-    lost(first);
+    loseConnection(first);
     nowMs += 2_000;
-    told(first.endpoint().name(), 2);
+    crashReportedByPeer(first.endpoint().name(), 2);
     assertEquals(1, coordinator.suspects().all().crashes().get(0).under().size());
     nowMs += 20_000;
     coordinator.restarted(first.endpoint().identity()::equals, nowMs);
@@ -271,45 +278,45 @@
   }
 
   /**
-   * Seen: a request that ends nothing was turned away. Its endpoint had started again without an
-   * end that its host could see; the attempt lasted, and each later reading of the list counted as
-   * another end of the same start.
+   * Guards against this failure: a harmless request was rejected. Its endpoint had restarted
+   * without a termination visible to the host; the attempt continued, and each later version of the
+   * list counted as another crash of the same incarnation.
    */
   @Test
-  void aStartThatIsOverEndsOnceUnderAnAttemptThatLasts() {
+  void supersededIncarnationCrashesOnceUnderAContinuingAttempt() {
     Action.Send send = sent(arrive("r-1", 1));
     for (int i = 0; i < 10; i++) {
       nowMs += 1_500;
-      decisive(coordinator.restarted(send.endpoint().identity()::equals, nowMs));
+      sendsAndRefusals(coordinator.restarted(send.endpoint().identity()::equals, nowMs));
       coordinator.tick(nowMs);
     }
     assertEquals(List.of(), coordinator.suspects().refused());
-    assertTrue(coordinator.suspects().all().crashes().size() <= 1, "one start, one end");
+    assertTrue(coordinator.suspects().all().crashes().size() <= 1, "one incarnation, one crash");
   }
 
   /**
-   * Seen: copies that had waited for an endpoint while none was free were sent to it together,
-   * since each had had its turn before.
+   * Guards against this failure: copies that had waited for a free endpoint were sent together once
+   * one was free, because each had held the execution lease before.
    */
   @Test
-  void copiesThatWaitedForAnEndpointDoNotGoTogether() {
-    List<Action.Send> before = new ArrayList<>();
+  void waitingCopiesAreNotSentTogether() {
+    List<Action.Send> earlierSends = new ArrayList<>();
     for (int i = 0; i < 400 && coordinator.waiting() == 0; i++) {
-      arrive("r-" + i, 5).forEach(one -> before.add((Action.Send) one));
+      arrive("r-" + i, 5).forEach(action -> earlierSends.add((Action.Send) action));
     }
     threeCrashesAmongOthers(1);
     arrive("c-1", 1);
     arrive("c-2", 1);
     for (int i = 0; i < 20; i++) {
-      later();
+      advance();
     }
-    assertEquals(3, coordinator.waiting(), "both copies, and the one that found no room");
+    assertEquals(3, coordinator.waiting(), "both copies, and the request that found no capacity");
     int copies = 0;
-    for (Action.Send one : before) {
-      copies += copies(coordinator.attempt(one.attempt(), AttemptEvent.ANSWERED, nowMs));
+    for (Action.Send send : earlierSends) {
+      copies += copies(coordinator.attempt(send.attempt(), AttemptEvent.ANSWERED, nowMs));
     }
     for (int i = 0; i < 2; i++) {
-      nowMs += LATER_MS;
+      nowMs += SETTLED_MS;
       copies += copies(coordinator.tick(nowMs));
     }
     assertEquals(1, copies);
@@ -317,7 +324,7 @@
 
   private static long copies(List<Action> actions) {
     return actions.stream()
-        .filter(one -> one instanceof Action.Send send && isCopy(send.attempt().requestId()))
+        .filter(action -> action instanceof Action.Send send && isCopy(send.attempt().requestId()))
         .count();
   }
 
@@ -326,67 +333,71 @@
   }
 
   @Test
-  void anEndpointThatWasToLeaveSaysNothing() {
+  void terminationOfADrainingEndpointIsNoEvidence() {
     twoCrashesElsewhere(1);
     Action.Send send = sent(arrive("r-1", 1));
     coordinator.endpoints(
         IntStream.range(0, 6)
-            .mapToObj(SuspectRequestsTest::engine)
+            .mapToObj(SuspectedRequestsTest::engine)
             .filter(engine -> !engine.equals(send.endpoint()))
             .toList(),
         nowMs);
-    List<Action> done = new ArrayList<>(ends(send));
-    done.addAll(later());
-    assertEquals("r-1", sent(done).attempt().requestId());
+    List<Action> actions = new ArrayList<>(crashEndpoint(send));
+    actions.addAll(advance());
+    assertEquals("r-1", sent(actions).attempt().requestId());
     sent(arrive("r-2", 1));
   }
 
-  /** A request comes, and ends its endpoint unless it is turned away; tells whether it was sent. */
-  private boolean isSentAndEndsItsEndpoint(String id, long content) {
-    List<Action> done = arrive(id, content);
-    boolean sent = !done.isEmpty() && done.get(0) instanceof Action.Send;
+  /**
+   * Handles a request that crashes its endpoint unless it is rejected. Returns whether it was sent.
+   */
+  private boolean isSentAndCrashesItsEndpoint(String id, long content) {
+    List<Action> actions = arrive(id, content);
+    boolean sent = !actions.isEmpty() && actions.get(0) instanceof Action.Send;
     if (sent) {
-      ends(sent(done));
+      crashEndpoint(sent(actions));
     }
     coordinator.callerGone(id, nowMs);
     return sent;
   }
 
-  /** Endpoints that are back soon and end again, before any host has read of their new start. */
+  /**
+   * Endpoints restart quickly and crash again before any host has discovered the new incarnation.
+   */
   @Test
-  void twoRequestsThatEndTheSameEndpointsOneAfterTheOtherAreToldApart() {
+  void twoRequestsCrashingTheSameEndpointsInTurnAreDistinguished() {
     int first = 0;
     int second = 0;
     for (int i = 0; i < 12; i++) {
       coordinator.endpoints(List.of(engine(i % 3)), nowMs);
-      first += isSentAndEndsItsEndpoint("a-" + i, 1) ? 1 : 0;
-      nowMs += BACK_MS;
-      second += isSentAndEndsItsEndpoint("b-" + i, 2) ? 1 : 0;
-      nowMs += BACK_MS;
+      first += isSentAndCrashesItsEndpoint("a-" + i, 1) ? 1 : 0;
+      nowMs += RESTART_MS;
+      second += isSentAndCrashesItsEndpoint("b-" + i, 2) ? 1 : 0;
+      nowMs += RESTART_MS;
     }
-    // Operators allow for three ends, and for three more.
+    // Operators allow three crashes, and three more.
     assertTrue(first <= 6, "sent " + first + " times");
     assertTrue(second <= 6, "sent " + second + " times");
     sent(arrive("c", 3));
   }
 
   @Test
-  void aCallerThatLeavesWhileItsRequestIsHeldLeavesNothing() {
+  void heldRequestIsRemovedWhenItsCallerLeaves() {
     twoCrashesElsewhere(1);
-    told("f-3", 1);
+    crashReportedByPeer("f-3", 1);
     arrive("r-1", 1);
     coordinator.callerGone("r-1", nowMs);
-    assertEquals(List.of(), later());
+    assertEquals(List.of(), advance());
     assertEquals(0, coordinator.open());
   }
 
   @Test
-  void aDeadlinePassesForWhatIsHeld() {
+  void heldRequestIsRefusedAtItsDeadline() {
     twoCrashesElsewhere(1);
-    told("f-3", 1);
+    crashReportedByPeer("f-3", 1);
     arrive("r-1", 1);
     nowMs += 10_000;
-    assertEquals(1, decisive(coordinator.tick(nowMs)).size());
+    assertEquals(1, sendsAndRefusals(coordinator.tick(nowMs)).size());
     assertEquals(0, coordinator.open());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/SweepRuleTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/SweepRuleTest.java
@@ -16,12 +16,12 @@
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
-/** What a gone owner left is freed, and a slow owner is never robbed. */
+/** The streams of an absent owner are released, and those of a slow owner never are. */
 class SweepRuleTest {
   private static final HostIdentity OWNER = new HostIdentity("a", 3);
 
-  /** Knowledge that a test sets. */
-  private static final class Knowledge implements SweepRule.Known {
+  /** An owner status set by the test. */
+  private static final class FakeOwnerStatus implements SweepRule.Known {
     boolean replaced;
     boolean listed;
     boolean alive;
@@ -43,43 +43,43 @@
   }
 
   @Property(tries = 3_000, seed = "81")
-  void ownerSeenWithinTheTimeIsNeverRobbed(@ForAll long seed) {
+  void recentlySeenOwnerIsNeverSwept(@ForAll long seed) {
     Random random = new Random(seed);
     SweepRule rule = new SweepRule();
-    Knowledge known = new Knowledge();
+    FakeOwnerStatus status = new FakeOwnerStatus();
     long nowMs = 0;
-    long seenMs = 0;
+    long lastSeenMs = 0;
     for (int step = 0; step < 60; step++) {
       nowMs += random.nextInt(20_000);
-      known.listed = random.nextInt(8) == 0;
-      known.alive = random.nextInt(8) == 0;
-      seenMs = known.listed || known.alive ? nowMs : seenMs;
-      List<HostIdentity> swept = rule.sweepable(Set.of(OWNER), known, nowMs);
-      assertTrue(swept.isEmpty() || nowMs - seenMs >= SweepRule.MIN_ABSENCE_MS);
+      status.listed = random.nextInt(8) == 0;
+      status.alive = random.nextInt(8) == 0;
+      lastSeenMs = status.listed || status.alive ? nowMs : lastSeenMs;
+      List<HostIdentity> swept = rule.sweepable(Set.of(OWNER), status, nowMs);
+      assertTrue(swept.isEmpty() || nowMs - lastSeenMs >= SweepRule.MIN_ABSENCE_MS);
     }
   }
 
   @Test
-  void goneOwnerIsFreedAfterTheTime() {
+  void absentOwnerIsSweptAfterTheMinimumAbsence() {
     SweepRule rule = new SweepRule();
-    Knowledge known = new Knowledge();
-    assertEquals(List.of(), rule.sweepable(Set.of(OWNER), known, 0));
-    assertEquals(List.of(), rule.sweepable(Set.of(OWNER), known, SweepRule.MIN_ABSENCE_MS - 1));
-    assertEquals(List.of(OWNER), rule.sweepable(Set.of(OWNER), known, SweepRule.MIN_ABSENCE_MS));
+    FakeOwnerStatus status = new FakeOwnerStatus();
+    assertEquals(List.of(), rule.sweepable(Set.of(OWNER), status, 0));
+    assertEquals(List.of(), rule.sweepable(Set.of(OWNER), status, SweepRule.MIN_ABSENCE_MS - 1));
+    assertEquals(List.of(OWNER), rule.sweepable(Set.of(OWNER), status, SweepRule.MIN_ABSENCE_MS));
   }
 
   @Test
-  void replacedOwnerIsFreedThoughItsHostIsListed() {
+  void replacedOwnerIsSweptEvenIfItsHostIsListed() {
     SweepRule rule = new SweepRule();
-    Knowledge known = new Knowledge();
-    known.listed = true;
-    known.replaced = true;
-    rule.sweepable(Set.of(OWNER), known, 0);
-    assertEquals(List.of(OWNER), rule.sweepable(Set.of(OWNER), known, SweepRule.MIN_ABSENCE_MS));
+    FakeOwnerStatus status = new FakeOwnerStatus();
+    status.listed = true;
+    status.replaced = true;
+    rule.sweepable(Set.of(OWNER), status, 0);
+    assertEquals(List.of(OWNER), rule.sweepable(Set.of(OWNER), status, SweepRule.MIN_ABSENCE_MS));
   }
 
   @Property(tries = 500, seed = "82")
-  void eachDutyIsOneHostsAndMovesOnlyWithItsHost(@ForAll long seed) {
+  void eachDutyHasOneOwnerAndMovesOnlyWhenItsHostIsGone(@ForAll long seed) {
     Random random = new Random(seed);
     Set<String> hosts = new HashSet<>();
     while (hosts.size() < 6) {
@@ -98,9 +98,9 @@
     for (int duty = 0; duty < 40; duty++) {
       String name = "engine-" + duty;
       for (String host : hosts) {
-        Set<String> others = new HashSet<>(hosts);
-        others.remove(host);
-        if (ZoneDuties.mine(name, host, others)) {
+        Set<String> otherHosts = new HashSet<>(hosts);
+        otherHosts.remove(host);
+        if (ZoneDuties.mine(name, host, otherHosts)) {
           assertEquals(null, owners.put(name, host));
         }
       }
--- a/org.fawndrum/tst/org/fawndrum/coordination/TestEndpoints.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/TestEndpoints.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.state.Endpoint;
 
-/** Makes what decisions know of endpoints, for tests of the packages below. */
+/** Creates endpoint states for tests of the subpackages. */
 public final class TestEndpoints {
   private TestEndpoints() {}
 
-  /** Returns the state of an endpoint that nothing has been sent to. */
+  /** Returns the state of an endpoint without any attempts sent to it. */
   public static EndpointState state(Endpoint endpoint) {
     return new EndpointState(endpoint, 1, new EndpointRests());
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/FairWorkOrderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/WeightedFairOrderTest.java
@@ -13,8 +13,8 @@
 import org.fawndrum.state.EndpointKind;
 import org.junit.jupiter.api.Test;
 
-/** Work is shared by weight, and who used more than a share is known. */
-class FairWorkOrderTest {
+/** Work is shared by weight, and groups over their share are detected. */
+class WeightedFairOrderTest {
   private static RequestFacts request(String workspace, long tokens) {
     return new RequestFacts(
         "r",
@@ -33,7 +33,7 @@
     Random random = new Random(seed);
     WeightedFairOrder order = new WeightedFairOrder(0);
     long[] weights = {1, 2, 5};
-    double[] got = new double[weights.length];
+    double[] workOf = new double[weights.length];
     for (int group = 0; group < weights.length; group++) {
       order.backlogged(request("w" + group, 1));
     }
@@ -45,10 +45,10 @@
       }
       long tokens = 1 + random.nextInt(1_000);
       order.dispatched(request("w" + next, tokens), weights[next]);
-      got[next] += tokens;
+      workOf[next] += tokens;
     }
     for (int group = 1; group < weights.length; group++) {
-      double share = got[group] / weights[group] / (got[0] / weights[0]);
+      double share = workOf[group] / weights[group] / (workOf[0] / weights[0]);
       assertEquals(1.0, share, 0.1);
     }
   }
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void groupThatTakesMoreThanOthersIsOverItsShareAndOthersAreNot() {
+  void groupWithMoreWorkThanOthersIsOverItsShare() {
     WeightedFairOrder order = new WeightedFairOrder(0);
     for (int i = 0; i < 100; i++) {
       order.dispatched(request("a", 100_000), 1);
--- a/org.fawndrum/tst/org/fawndrum/coordination/WindowRetryBudgetTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/WindowRetryBudgetTest.java
@@ -13,16 +13,18 @@
 import org.fawndrum.state.EndpointKind;
 import org.junit.jupiter.api.Test;
 
-/** In no span of the window are there more retries than the reserve and the requests allow. */
+/** In no window are there more retries than the reserve and the requests allow. */
 class WindowRetryBudgetTest {
   private static final RequestTarget TARGET = new RequestTarget(EndpointKind.PLAIN, "orders");
   private static final long WINDOW_MS = 1_000;
   private static final double RATIO = 0.2;
   private static final double RESERVE = 3;
 
-  /** One step: negative for a request, else a retry; the size is the time that passes before. */
+  /**
+   * A step is a request if negative, otherwise a retry; its absolute value is the time before it.
+   */
   @Property(seed = "815", tries = 400)
-  void everySpanKeepsTheBound(
+  void limitHoldsInEveryWindow(
       @ForAll @Size(max = 200) List<@IntRange(min = -60, max = 60) Integer> steps) {
     WindowRetryBudget budget = new WindowRetryBudget(RATIO, () -> RESERVE, WINDOW_MS);
     List<Long> requests = new ArrayList<>();
@@ -39,9 +41,11 @@
     }
     for (long end : retries) {
       long from = end - WINDOW_MS;
-      long again = retries.stream().filter(at -> at >= from && at <= end).count();
-      long first = requests.stream().filter(at -> at >= from && at <= end).count();
-      assertTrue(again <= RESERVE + RATIO * first, again + " retries, " + first + " requests");
+      long retryCount = retries.stream().filter(at -> at >= from && at <= end).count();
+      long requestCount = requests.stream().filter(at -> at >= from && at <= end).count();
+      assertTrue(
+          retryCount <= RESERVE + RATIO * requestCount,
+          retryCount + " retries, " + requestCount + " requests");
     }
   }
 
