--- a/org.fawndrum/src/org/fawndrum/coordination/Action.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Action.java
@@ -34,7 +34,7 @@
    */
   record Helper(Endpoint endpoint, long memoryTokens) {}
 
-  /** Tells an endpoint that an attempt is abandoned, and releases what it holds. */
+  /** Cancels an abandoned attempt at its endpoint, and releases what it holds. */
   record Cancel(AttemptId attempt, Endpoint endpoint) implements Action {}
 
   /** Sends the caller a refusal as its final answer. */
--- a/org.fawndrum/src/org/fawndrum/coordination/Admission.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Admission.java
@@ -89,16 +89,16 @@
     if (serving.isEmpty()) {
       return RefusalRules.unavailable(request, RefusalKind.NO_ENDPOINT, OTHER_HOST_RETRY_AFTER_MS);
     }
-    long restEndMs =
+    long backoffEndMs =
         serving.stream()
             .mapToLong(EndpointState::requestedBackoffEndMs)
             .min()
             .orElse(Long.MIN_VALUE);
-    boolean inTime = restEndMs + shortestServiceMs(request.facts) <= answerDueMs(request);
-    if (restEndMs <= nowMs || inTime) {
+    boolean inTime = backoffEndMs + shortestServiceMs(request.facts) <= answerDueMs(request);
+    if (backoffEndMs <= nowMs || inTime) {
       return null;
     }
-    long retryMs = Math.min(OTHER_HOST_RETRY_AFTER_MS, restEndMs - nowMs);
+    long retryMs = Math.min(OTHER_HOST_RETRY_AFTER_MS, backoffEndMs - nowMs);
     return RefusalRules.unavailable(request, RefusalKind.ENDPOINTS_REST, retryMs);
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/AttemptState.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/AttemptState.java
@@ -11,7 +11,7 @@
   RUNNING,
   /** The whole answer arrived. */
   DONE,
-  /** The request did not run: nothing was sent, or the endpoint said so. */
+  /** The request did not run: nothing was sent, or the endpoint reported it. */
   NOT_RUN,
   /** The request ran and failed. */
   FAILED,
--- a/org.fawndrum/src/org/fawndrum/coordination/EngineWork.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EngineWork.java
@@ -45,8 +45,8 @@
   void attemptPlaced(
       OpenRequest.Attempt attempt, RequestFacts facts, Placement.Choice choice, long nowMs) {
     int engines = 1 + choice.helpers().size();
-    long elsewhere = choice.helpers().stream().mapToLong(Placement.Helper::memoryTokens).sum();
-    long memory = facts.promptTokens() == 0 ? 0 : facts.workTokens() - elsewhere;
+    long helperMemory = choice.helpers().stream().mapToLong(Placement.Helper::memoryTokens).sum();
+    long memory = facts.promptTokens() == 0 ? 0 : facts.workTokens() - helperMemory;
     add(attempt, job(choice.state(), facts, memory, engines, true, nowMs), nowMs);
     for (Placement.Helper helper : choice.helpers()) {
       EngineJob job = job(helper.state(), facts, helper.memoryTokens(), engines, false, nowMs);
@@ -55,8 +55,13 @@
   }
 
   private EngineJob job(
-      EndpointState at, RequestFacts facts, long memory, int engines, boolean decodes, long nowMs) {
-    HostIdentity endpoint = at.endpoint().identity();
+      EndpointState state,
+      RequestFacts facts,
+      long memory,
+      int engines,
+      boolean decodes,
+      long nowMs) {
+    HostIdentity endpoint = state.endpoint().identity();
     RequestAims aims = facts.aims().after(nowMs - facts.arrivedMs());
     return new EngineJob(
         nextId++, endpoint, facts.promptTokens(), memory, engines, decodes, aims, nowMs);
--- a/org.fawndrum/src/org/fawndrum/coordination/LostAttempts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/LostAttempts.java
@@ -62,11 +62,11 @@
    */
   List<LostAttempt> takeTerminatedWith(HostIdentity endpoint, long atMs) {
     return take(
-            other ->
-                other.endpoint().equals(endpoint)
-                    && Math.abs(other.atMs() - atMs) <= SAME_TERMINATION_MS)
+            attempt ->
+                attempt.endpoint().equals(endpoint)
+                    && Math.abs(attempt.atMs() - atMs) <= SAME_TERMINATION_MS)
         .stream()
-        .map(other -> other.withTime(atMs))
+        .map(attempt -> attempt.withTime(atMs))
         .toList();
   }
 
@@ -75,7 +75,9 @@
    * endpoint was still alive when the earlier ones broke.
    */
   List<LostAttempt> takeSuperseded(Predicate<HostIdentity> superseded, long nowMs) {
-    return take(other -> nowMs - other.atMs() <= RETENTION_MS && superseded.test(other.endpoint()))
+    return take(
+            attempt ->
+                nowMs - attempt.atMs() <= RETENTION_MS && superseded.test(attempt.endpoint()))
         .stream()
         .sorted(Comparator.comparingLong(LostAttempt::atMs).reversed())
         .toList();
--- a/org.fawndrum/src/org/fawndrum/coordination/SuspectedRequests.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/SuspectedRequests.java
@@ -61,8 +61,8 @@
    */
   boolean recheckBeforeDispatch(OpenRequest request, long nowMs) {
     RequestContent content = request.facts.content();
-    boolean hasTurn = request.lease != null && crashLedger.lasts(request.lease, nowMs);
-    return !hasTurn && crashLedger.needsTurn(content) && holdIfRequired(request, nowMs);
+    boolean hasLease = request.lease != null && crashLedger.lasts(request.lease, nowMs);
+    return !hasLease && crashLedger.needsTurn(content) && holdIfRequired(request, nowMs);
   }
 
   private boolean hold(OpenRequest request, long nowMs) {
