--- a/org.fawndrum/tst/org/fawndrum/coordination/FairWorkOrderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/WeightedFairOrderTest.java
@@ -13,8 +13,8 @@
 import org.fawndrum.state.EndpointKind;
 import org.junit.jupiter.api.Test;
 
-/** Work is shared by weight, and who used more than a share is known. */
-class FairWorkOrderTest {
+/** Work is shared by weight, and groups over their share are detected. */
+class WeightedFairOrderTest {
   private static RequestFacts request(String workspace, long tokens) {
     return new RequestFacts(
         "r",
@@ -31,45 +31,45 @@
   @Property(tries = 300, seed = "95")
   void backloggedGroupsGetWorkByWeight(@ForAll long seed) {
     Random random = new Random(seed);
-    FairWorkOrder order = new FairWorkOrder(0);
+    WeightedFairOrder order = new WeightedFairOrder(0);
     long[] weights = {1, 2, 5};
-    double[] got = new double[weights.length];
+    double[] workOf = new double[weights.length];
     for (int group = 0; group < weights.length; group++) {
       order.backlogged(request("w" + group, 1));
     }
     for (int i = 0; i < 3_000; i++) {
       int next = 0;
       for (int group = 1; group < weights.length; group++) {
-        double place = order.place(request("w" + group, 1), weights[group], false);
-        next = place < order.place(request("w" + next, 1), weights[next], false) ? group : next;
+        double place = order.sortKey(request("w" + group, 1), weights[group], false);
+        next = place < order.sortKey(request("w" + next, 1), weights[next], false) ? group : next;
       }
       long tokens = 1 + random.nextInt(1_000);
       order.dispatched(request("w" + next, tokens), weights[next]);
-      got[next] += tokens;
+      workOf[next] += tokens;
     }
     for (int group = 1; group < weights.length; group++) {
-      double share = got[group] / weights[group] / (got[0] / weights[0]);
+      double share = workOf[group] / weights[group] / (workOf[0] / weights[0]);
       assertEquals(1.0, share, 0.1);
     }
   }
 
   @Test
   void groupAloneIsNeverOverItsShare() {
-    FairWorkOrder order = new FairWorkOrder(0);
+    WeightedFairOrder order = new WeightedFairOrder(0);
     for (int i = 0; i < 100; i++) {
       order.dispatched(request("a", 100_000), 1);
     }
-    assertFalse(order.overShare(request("a", 1)));
+    assertFalse(order.isOverShare(request("a", 1)));
   }
 
   @Test
-  void groupThatTakesMoreThanOthersIsOverItsShareAndOthersAreNot() {
-    FairWorkOrder order = new FairWorkOrder(0);
+  void groupWithMoreWorkThanOthersIsOverItsShare() {
+    WeightedFairOrder order = new WeightedFairOrder(0);
     for (int i = 0; i < 100; i++) {
       order.dispatched(request("a", 100_000), 1);
       order.dispatched(request("b", 10_000), 1);
     }
-    assertTrue(order.overShare(request("a", 1)));
-    assertFalse(order.overShare(request("b", 1)));
+    assertTrue(order.isOverShare(request("a", 1)));
+    assertFalse(order.isOverShare(request("b", 1)));
   }
 }
