--- a/org.fawndrum/src/org/fawndrum/errors/AddressUnavailableException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/AddressUnavailableException.java
@@ -4,14 +4,14 @@
 import org.fawndrum.internal.text.MessageText;
 import org.fawndrum.state.HostAddress;
 
-/** A host cannot listen on an address of its settings: another socket has it, or it has no such. */
+/** Listening on a configured address failed: it is in use, or not an address of this host. */
 public final class AddressUnavailableException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the failure of one address.
+   * Creates the exception for one address.
    *
-   * @param purpose who would come in there, by the name of the setting
+   * @param purpose name of the setting, such as {@code callers}
    */
   public AddressUnavailableException(String purpose, HostAddress address, Throwable cause) {
     super(cause, MessageText.ADDRESS_UNAVAILABLE, purpose, address, cause.getMessage());
--- a/org.fawndrum/src/org/fawndrum/errors/BadCellsException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/BadCellsException.java
@@ -6,12 +6,12 @@
 import org.fawndrum.internal.text.MessageText;
 import org.fawndrum.state.PublicationOutcome.BadCell;
 
-/** Cells hold values that their columns do not allow; nothing was published. */
+/** A publication was rejected because values are not valid for their columns. */
 public final class BadCellsException extends FawndrumException {
   private static final long serialVersionUID = 1L;
   private final transient List<BadCell> badCells;
 
-  /** Makes the failure from every bad cell of one publication. */
+  /** Creates the exception for all invalid cells of one publication. */
   public BadCellsException(List<BadCell> badCells) {
     super(MessageText.BAD_CELLS, describe(badCells));
     this.badCells = List.copyOf(badCells);
@@ -19,11 +19,11 @@
 
   private static String describe(List<BadCell> badCells) {
     return badCells.stream()
-        .map(bad -> bad.key() + " = '" + bad.value() + "', allowed is " + bad.allowed())
+        .map(bad -> bad.key() + " = '" + bad.value() + "', expected " + bad.allowed())
         .collect(Collectors.joining("; "));
   }
 
-  /** Returns every bad cell. */
+  /** Returns all invalid cells. */
   public List<BadCell> badCells() {
     return badCells;
   }
--- a/org.fawndrum/src/org/fawndrum/errors/BadEntryException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/BadEntryException.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** What is said of an endpoint lacks a part, or has it in another form. */
+/** A field of an endpoint's entry in the store is missing or malformed. */
 public final class BadEntryException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of one part, named as its writer names it. */
+  /** Creates the exception for one field, by its name in the entry. */
   public BadEntryException(String part) {
     super(MessageText.BAD_ENTRY, part);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/BadPeerFrameException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/BadPeerFrameException.java
@@ -3,29 +3,29 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** A peer message does not decode, or is not of the size that it claims. */
+/** A peer message cannot be decoded, or its declared length is invalid. */
 public final class BadPeerFrameException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with a frame. */
+  /** Kind of defect of a frame. */
   public enum Fault {
-    /** Its claimed length is negative or above the limit. */
+    /** The declared length is negative or above the limit. */
     LENGTH,
-    /** Its bytes are no message. */
+    /** The bytes are not a valid message. */
     CONTENT,
-    /** It names no sender or has no body. */
+    /** The sender or the body is missing. */
     INCOMPLETE
   }
 
   private final Fault fault;
 
-  /** Makes the failure. */
+  /** Creates the exception; the cause may be null. */
   public BadPeerFrameException(Fault fault, Throwable cause) {
     super(cause, MessageText.BAD_PEER_FRAME, fault);
     this.fault = fault;
   }
 
-  /** Returns what is wrong. */
+  /** Returns the kind of defect. */
   public Fault fault() {
     return fault;
   }
--- a/org.fawndrum/src/org/fawndrum/errors/BadSettingsException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/BadSettingsException.java
@@ -6,12 +6,12 @@
 import org.fawndrum.internal.text.MessageText;
 import org.fawndrum.settings.SettingsFault;
 
-/** A settings file cannot be used; names everything that is wrong with it at once. */
+/** A settings file is invalid; the message lists all its errors. */
 public final class BadSettingsException extends FawndrumException {
   private static final long serialVersionUID = 1L;
   private final transient List<SettingsFault> faults;
 
-  /** Makes the failure of one file. */
+  /** Creates the exception for one file. */
   public BadSettingsException(String file, List<SettingsFault> faults) {
     super(
         MessageText.BAD_SETTINGS,
@@ -20,7 +20,7 @@
     this.faults = List.copyOf(faults);
   }
 
-  /** Returns every fault. */
+  /** Returns all errors of the file. */
   public List<SettingsFault> faults() {
     return faults;
   }
--- a/org.fawndrum/src/org/fawndrum/errors/EndpointAnsweredWrongException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/EndpointAnsweredWrongException.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** An endpoint answered something that its protocol does not allow. */
+/** An endpoint's answer violates its protocol. */
 public final class EndpointAnsweredWrongException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of an endpoint that answered with a status or a body that makes no sense. */
+  /** Creates the exception for an answer with an unexpected status or body. */
   public EndpointAnsweredWrongException(String endpoint, int status, Throwable cause) {
     super(cause, MessageText.ENDPOINT_ANSWERED_WRONG, endpoint, Integer.toString(status));
   }
--- a/org.fawndrum/src/org/fawndrum/errors/EndpointMemoryShortException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/EndpointMemoryShortException.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** An engine has not enough free memory for its part of a prompt. */
+/** An engine does not have enough free memory for its prompt segment. */
 public final class EndpointMemoryShortException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of one engine. */
+  /** Creates the exception for one engine. */
   public EndpointMemoryShortException(String endpoint) {
     super(MessageText.ENDPOINT_MEMORY_SHORT, endpoint);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/EndpointRestartedException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/EndpointRestartedException.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** An endpoint has started again since: what it held and worked on before is gone. */
+/** An endpoint restarted, which loses the memory and the requests of its earlier incarnation. */
 public final class EndpointRestartedException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of something meant for an earlier start of an endpoint. */
+  /** Creates the exception for an operation on an earlier incarnation of an endpoint. */
   public EndpointRestartedException(String endpoint) {
     super(MessageText.ENDPOINT_RESTARTED, endpoint);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/EndpointUnreachableException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/EndpointUnreachableException.java
@@ -4,11 +4,11 @@
 import org.fawndrum.internal.text.MessageText;
 import org.fawndrum.state.HostAddress;
 
-/** No connection to an endpoint could be had; nothing was sent. */
+/** Connecting to an endpoint failed; no request was sent. */
 public final class EndpointUnreachableException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of one endpoint's address. */
+  /** Creates the exception for one endpoint's address. */
   public EndpointUnreachableException(HostAddress endpoint, Throwable cause) {
     super(cause, MessageText.ENDPOINT_UNREACHABLE, endpoint);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/FawndrumException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/FawndrumException.java
@@ -3,21 +3,21 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** The parent of every failure of the system. Its message comes from the message bundle. */
+/** Base class of all exceptions of the system. The message comes from the message bundle. */
 public abstract class FawndrumException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes a failure.
+   * Creates an exception.
    *
    * @param text the message
-   * @param arguments the data that the message names
+   * @param arguments the arguments of the message's placeholders
    */
   protected FawndrumException(MessageText text, Object... arguments) {
     super(text.format(arguments));
   }
 
-  /** Makes a failure that another one caused. */
+  /** Creates an exception with a cause. */
   protected FawndrumException(Throwable cause, MessageText text, Object... arguments) {
     super(text.format(arguments), cause);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/MemoryUnusedException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/MemoryUnusedException.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** An engine says that no request uses the memory that was set aside on it for one. */
+/** An engine reports that no request uses the memory that is reserved on it. */
 public final class MemoryUnusedException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of memory on one engine. */
+  /** Creates the exception for one engine. */
   public MemoryUnusedException(String endpoint) {
     super(MessageText.MEMORY_UNUSED, endpoint);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/OperatorCallFailedException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/OperatorCallFailedException.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** A daemon refused a call of its operators' address. */
+/** A daemon rejected a call of its operator API. */
 public final class OperatorCallFailedException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of one call. */
+  /** Creates the exception for one call. */
   public OperatorCallFailedException(String method, String path, int status, String message) {
     super(MessageText.OPERATOR_CALL_FAILED, method, path, Integer.toString(status), message);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/PeerUnreachableException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/PeerUnreachableException.java
@@ -4,11 +4,11 @@
 import org.fawndrum.internal.text.MessageText;
 import org.fawndrum.state.HostAddress;
 
-/** A peer cannot be reached or did not answer in time. */
+/** A peer is unreachable or did not answer in time. */
 public final class PeerUnreachableException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of one peer address. */
+  /** Creates the exception for one peer address. */
   public PeerUnreachableException(HostAddress peer, Throwable cause) {
     super(cause, MessageText.PEER_UNREACHABLE, peer);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/PlatformUnavailableException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/PlatformUnavailableException.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** The platform did not answer, or answered that it is down. */
+/** The platform did not answer, or reported that it is unavailable. */
 public final class PlatformUnavailableException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of one operation of the platform, such as {@code append}. */
+  /** Creates the exception for one operation of the platform, such as {@code append}. */
   public PlatformUnavailableException(String operation, Throwable cause) {
     super(cause, MessageText.PLATFORM_UNAVAILABLE, operation);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/PublicationLostException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/PublicationLostException.java
@@ -6,12 +6,12 @@
 import org.fawndrum.internal.text.MessageText;
 import org.fawndrum.state.PublicationOutcome.Conflict;
 
-/** Somebody else changed cells of a publication first. */
+/** A publication was rejected because another one changed the same cells first. */
 public final class PublicationLostException extends FawndrumException {
   private static final long serialVersionUID = 1L;
   private final transient List<Conflict> conflicts;
 
-  /** Makes the failure of one publication. */
+  /** Creates the exception for one publication. */
   public PublicationLostException(String publicationId, List<Conflict> conflicts) {
     super(MessageText.PUBLICATION_LOST, publicationId, describe(conflicts));
     this.conflicts = List.copyOf(conflicts);
@@ -31,7 +31,7 @@
         .collect(Collectors.joining("; "));
   }
 
-  /** Returns the cells that somebody else changed. */
+  /** Returns the conflicting cells. */
   public List<Conflict> conflicts() {
     return conflicts;
   }
--- a/org.fawndrum/src/org/fawndrum/errors/RecordUnreadableException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/RecordUnreadableException.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** A record of the log does not decode. */
+/** A log record cannot be decoded. */
 public final class RecordUnreadableException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of the record at one offset. */
+  /** Creates the exception for the record at one offset. */
   public RecordUnreadableException(long offset, Throwable cause) {
     super(cause, MessageText.RECORD_UNREADABLE, Long.toString(offset));
   }
--- a/org.fawndrum/src/org/fawndrum/errors/RefusedException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/RefusedException.java
@@ -7,13 +7,13 @@
 import org.fawndrum.coordination.RefusalKind;
 import org.fawndrum.internal.text.MessageText;
 
-/** A request got no whole answer. */
+/** A request failed without a complete answer. */
 public final class RefusedException extends FawndrumException {
   private static final long serialVersionUID = 1L;
   private final String requestId;
   private final transient Refusal refusal;
 
-  /** Makes the failure of one request. */
+  /** Creates the exception for one request. */
   public RefusedException(String requestId, Refusal refusal) {
     super(MessageText.REQUEST_REFUSED, requestId, refusal.kind().text());
     this.requestId = requestId;
@@ -21,9 +21,10 @@
   }
 
   /**
-   * Returns the refusal that ended a stage, or an internal fault when something else did.
+   * Returns the refusal that a completion stage failed with, or an internal error for any other
+   * failure.
    *
-   * @param failure as the stage gives it, with or without its wrapping
+   * @param failure the failure of the stage, possibly wrapped in a {@link CompletionException}
    */
   public static Refusal refusalOf(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
@@ -32,12 +33,12 @@
         : Refusal.of(RefusalKind.INTERNAL, Ran.NO, Refusal.NEVER);
   }
 
-  /** Returns the id of the request; empty when it has none. */
+  /** Returns the id of the request; empty if it has none. */
   public String requestId() {
     return requestId;
   }
 
-  /** Returns why, and whether the request ran. */
+  /** Returns the refusal, which contains the reason and whether the request ran. */
   public Refusal refusal() {
     return refusal;
   }
--- a/org.fawndrum/src/org/fawndrum/errors/RingFullException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/RingFullException.java
@@ -3,11 +3,11 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** A duty's ring has no room; the event was not taken. */
+/** The ring buffer of a duty is full; the event was not accepted. */
 public final class RingFullException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
-  /** Makes the failure of one duty's ring. */
+  /** Creates the exception for one duty's ring buffer. */
   public RingFullException(String duty) {
     super(MessageText.RING_FULL, duty);
   }
--- a/org.fawndrum/src/org/fawndrum/errors/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/errors/package-info.java
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: Apache-2.0
-/** One exception class for each failure; each builds its message from typed data. */
+/** Exceptions, one class per kind of failure; each builds its message from typed data. */
 package org.fawndrum.errors;
--- a/org.fawndrum/src/org/fawndrum/protocol/ChatMessages.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/ChatMessages.java
@@ -5,26 +5,26 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 
-/** The JSON messages of the chat-completions form that client libraries use. */
+/** The JSON messages of the chat-completions API that client libraries use. */
 public final class ChatMessages {
   private ChatMessages() {}
 
-  /** A caller's request; only the fields that the system uses. */
+  /** A caller's request; contains only the fields that the system uses. */
   public record ChatRequest(
       String model,
       List<ChatMessage> messages,
       Boolean stream,
       @JsonProperty("max_tokens") Long maxTokens,
       @JsonProperty("max_completion_tokens") Long maxCompletionTokens) {
-    /** Tells whether the answer is wanted as a stream. */
+    /** Whether the caller requests a streamed answer. */
     public boolean streamed() {
       return Boolean.TRUE.equals(stream);
     }
   }
 
-  /** One message; its content is text or a list of parts. */
+  /** A message; its content is text or a list of parts. */
   public record ChatMessage(String role, JsonNode content) {
-    /** Returns the text of the content, parts joined. */
+    /** Returns the text of the content, with parts concatenated; empty if there is none. */
     public String text() {
       if (content == null || content.isNull()) {
         return "";
@@ -40,18 +40,18 @@
     }
   }
 
-  /** A piece of a streamed answer. */
+  /** A chunk of a streamed answer. */
   public record Chunk(
       String id, String object, long created, String model, List<ChunkChoice> choices) {}
 
-  /** The only choice of a streamed piece. */
+  /** The only choice of a chunk. */
   public record ChunkChoice(
       int index, Delta delta, @JsonProperty("finish_reason") String finishReason) {}
 
-  /** What a piece adds. */
+  /** The content that a chunk adds. */
   public record Delta(String role, String content) {}
 
-  /** A whole answer. */
+  /** A complete answer. */
   public record Completion(
       String id,
       String object,
@@ -60,23 +60,23 @@
       List<CompletionChoice> choices,
       Usage usage) {}
 
-  /** The only choice of a whole answer. */
+  /** The only choice of a complete answer. */
   public record CompletionChoice(
       int index, Answer message, @JsonProperty("finish_reason") String finishReason) {}
 
-  /** The answer's message. */
+  /** The message of a complete answer. */
   public record Answer(String role, String content) {}
 
-  /** Counted tokens. */
+  /** Token counts of a request. */
   public record Usage(
       @JsonProperty("prompt_tokens") long promptTokens,
       @JsonProperty("completion_tokens") long completionTokens,
       @JsonProperty("total_tokens") long totalTokens) {}
 
-  /** An error in the form that client libraries parse. */
+  /** An error body in the format that client libraries parse. */
   public record ErrorBody(ErrorDetail error) {}
 
-  /** What an error says. */
+  /** Details of an error. */
   public record ErrorDetail(
       String message,
       String type,
--- a/org.fawndrum/src/org/fawndrum/protocol/CrashCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/CrashCodec.java
@@ -19,53 +19,55 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * Reads and writes what daemons tell each other about endpoints that ended under requests. Times
- * are written as ages, because clocks differ.
+ * Converts the updates about endpoint crashes that daemons exchange. Times are encoded as ages,
+ * because the clocks of hosts differ.
  */
 public final class CrashCodec {
   private CrashCodec() {}
 
   /**
-   * Returns news as a message.
+   * Encodes updates.
    *
-   * @param whole whether these are all that is known here
+   * @param whole whether the updates are everything that this host knows
    */
-  public static CrashReport write(CrashNews news, boolean whole, long nowMs) {
-    CrashReport.Builder report = CrashReport.newBuilder().setWhole(whole).setHops(news.hops());
-    for (EndpointCrash crash : news.crashes()) {
-      CrashRecord.Builder one =
+  public static CrashReport write(CrashNews updates, boolean whole, long nowMs) {
+    CrashReport.Builder report = CrashReport.newBuilder().setWhole(whole).setHops(updates.hops());
+    for (EndpointCrash crash : updates.crashes()) {
+      CrashRecord.Builder message =
           CrashRecord.newBuilder()
               .setEndpoint(crash.endpoint().host())
               .setEndpointIncarnation(crash.endpoint().incarnation())
               .setTakenAgeMs(nowMs - crash.takenMs())
               .setAgeMs(nowMs - crash.atMs());
-      crash.under().forEach(request -> one.addUnder(write(request)));
-      report.addCrashes(one);
+      crash.under().forEach(request -> message.addUnder(write(request)));
+      report.addCrashes(message);
     }
-    for (ServedRequest served : news.served()) {
+    for (ServedRequest served : updates.served()) {
       report.addServed(
           ServedRecord.newBuilder()
               .setRequest(write(served.request()))
               .setAgeMs(nowMs - served.atMs()));
     }
-    for (RefusedRequest refused : news.refused()) {
+    for (RefusedRequest refused : updates.refused()) {
       report.addRefused(
           RefusedRecord.newBuilder()
               .setRequest(write(refused.request()))
               .setAgeMs(nowMs - refused.sinceMs())
               .addAllEndpoints(refused.endpoints()));
     }
-    for (SuspectTurn turn : news.turns()) {
-      report.addTurns(turn(turn.request(), turn.host()).setAgeMs(nowMs - turn.atMs()));
+    for (SuspectTurn lease : updates.turns()) {
+      report.addTurns(leaseRecord(lease.request(), lease.host()).setAgeMs(nowMs - lease.atMs()));
     }
-    for (SpentTurn turn : news.spent()) {
+    for (SpentTurn lease : updates.spent()) {
       report.addSpent(
-          turn(turn.request(), turn.host()).setAgeMs(nowMs - turn.atMs()).setSpent(turn.turns()));
+          leaseRecord(lease.request(), lease.host())
+              .setAgeMs(nowMs - lease.atMs())
+              .setSpent(lease.turns()));
     }
     return report.build();
   }
 
-  private static TurnRecord.Builder turn(RequestFingerprint request, HostIdentity host) {
+  private static TurnRecord.Builder leaseRecord(RequestFingerprint request, HostIdentity host) {
     return TurnRecord.newBuilder()
         .setRequest(write(request))
         .setHost(host.host())
@@ -80,43 +82,53 @@
         .build();
   }
 
-  /** Returns the news in a message; a time that lies ahead is taken for now. */
+  /** Decodes updates; a time in the future is replaced by the current time. */
   public static CrashNews read(CrashReport report, long nowMs) {
     return new CrashNews(
-        report.getCrashesList().stream().map(one -> crash(one, nowMs)).toList(),
+        report.getCrashesList().stream().map(message -> crash(message, nowMs)).toList(),
         report.getServedList().stream()
-            .map(one -> new ServedRequest(read(one.getRequest()), at(one.getAgeMs(), nowMs)))
+            .map(
+                message ->
+                    new ServedRequest(
+                        read(message.getRequest()), timeOfAge(message.getAgeMs(), nowMs)))
             .toList(),
-        report.getRefusedList().stream().map(one -> refused(one, nowMs)).toList(),
-        report.getTurnsList().stream().map(one -> turn(one, nowMs)).toList(),
-        report.getSpentList().stream().map(one -> spent(one, nowMs)).toList(),
+        report.getRefusedList().stream().map(message -> refused(message, nowMs)).toList(),
+        report.getTurnsList().stream().map(message -> lease(message, nowMs)).toList(),
+        report.getSpentList().stream().map(message -> spent(message, nowMs)).toList(),
         report.getHops());
   }
 
-  private static SuspectTurn turn(TurnRecord one, long nowMs) {
-    HostIdentity host = new HostIdentity(one.getHost(), one.getHostIncarnation());
-    return new SuspectTurn(read(one.getRequest()), host, at(one.getAgeMs(), nowMs));
+  private static SuspectTurn lease(TurnRecord message, long nowMs) {
+    HostIdentity host = new HostIdentity(message.getHost(), message.getHostIncarnation());
+    return new SuspectTurn(read(message.getRequest()), host, timeOfAge(message.getAgeMs(), nowMs));
   }
 
-  private static SpentTurn spent(TurnRecord one, long nowMs) {
-    SuspectTurn last = turn(one, nowMs);
-    return new SpentTurn(last.request(), last.host(), one.getSpent(), last.atMs());
+  private static SpentTurn spent(TurnRecord message, long nowMs) {
+    SuspectTurn lastLease = lease(message, nowMs);
+    return new SpentTurn(
+        lastLease.request(), lastLease.host(), message.getSpent(), lastLease.atMs());
   }
 
-  private static EndpointCrash crash(CrashRecord one, long nowMs) {
-    HostIdentity endpoint = new HostIdentity(one.getEndpoint(), one.getEndpointIncarnation());
+  private static EndpointCrash crash(CrashRecord message, long nowMs) {
+    HostIdentity endpoint =
+        new HostIdentity(message.getEndpoint(), message.getEndpointIncarnation());
     Set<RequestFingerprint> under =
-        one.getUnderList().stream().map(CrashCodec::read).collect(Collectors.toSet());
+        message.getUnderList().stream().map(CrashCodec::read).collect(Collectors.toSet());
     return new EndpointCrash(
-        endpoint, at(one.getTakenAgeMs(), nowMs), at(one.getAgeMs(), nowMs), under);
+        endpoint,
+        timeOfAge(message.getTakenAgeMs(), nowMs),
+        timeOfAge(message.getAgeMs(), nowMs),
+        under);
   }
 
-  private static RefusedRequest refused(RefusedRecord one, long nowMs) {
+  private static RefusedRequest refused(RefusedRecord message, long nowMs) {
     return new RefusedRequest(
-        read(one.getRequest()), at(one.getAgeMs(), nowMs), one.getEndpointsList());
+        read(message.getRequest()),
+        timeOfAge(message.getAgeMs(), nowMs),
+        message.getEndpointsList());
   }
 
-  private static long at(long ageMs, long nowMs) {
+  private static long timeOfAge(long ageMs, long nowMs) {
     return nowMs - Math.max(0, ageMs);
   }
 
--- a/org.fawndrum/src/org/fawndrum/protocol/EngineMessages.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/EngineMessages.java
@@ -4,24 +4,24 @@
 import java.util.List;
 import org.fawndrum.coordination.LoadReport;
 
-/** The JSON messages of a model engine. */
+/** The JSON messages of the protocol of model engines. */
 public final class EngineMessages {
   private EngineMessages() {}
 
   /**
-   * An order to run a stream.
+   * Command to run a stream.
    *
-   * @param attempt names owner, request and attempt; echoed on each chunk
-   * @param request the request's id
-   * @param ownerHost the host that owns what the stream holds
+   * @param attempt identifies owner, request and attempt; echoed in each event
+   * @param request the request id
+   * @param ownerHost the host that owns the stream's resources
    * @param ownerIncarnation the incarnation of that host
-   * @param model the model
-   * @param prompt the prompt's text
-   * @param promptTokens its length in tokens
-   * @param maxTokens the longest answer, in tokens
-   * @param priority 0 to 9
-   * @param from the first position to answer; earlier ones are held by the caller
-   * @param prefixes hashes of the prompt's leading blocks, shortest first
+   * @param model the model's name
+   * @param prompt the prompt text
+   * @param promptTokens length of the prompt, in tokens
+   * @param maxTokens maximum length of the answer, in tokens
+   * @param priority 0 (lowest) to 9
+   * @param from first token position to send; the caller already has the earlier ones
+   * @param prefixes hashes of the prompt's leading blocks, shortest prefix first
    */
   public record StreamOrder(
       String attempt,
@@ -37,34 +37,34 @@
       List<Long> prefixes) {}
 
   /**
-   * One event of a stream.
+   * An event of a stream.
    *
    * @param attempt the attempt it belongs to
-   * @param at the position of the token, null on an end or failure
-   * @param text the token's text, null on an end or failure
-   * @param count on an end: the number of tokens of the whole answer
-   * @param failed on a failure: why
+   * @param at position of the token; null on completion or failure
+   * @param text text of the token; null on completion or failure
+   * @param count number of tokens of the whole answer; set on completion only
+   * @param failed reason of the failure; set on failure only
    */
   public record StreamEvent(String attempt, Long at, String text, Long count, String failed) {}
 
-  /** An order to end a stream and free what it holds. */
+  /** Command to cancel a stream and free its resources. */
   public record Cancel(String attempt) {}
 
-  /** Why an order was not taken; the request did not and will not run. */
+  /** Rejection of a command; the request has not run and will not run. */
   public record NotRun(String ran, String reason, long retryAfterMs) {}
 
   /**
    * An engine's load.
    *
-   * @param host its name
-   * @param incarnation its incarnation
-   * @param sequence grows with each report
-   * @param backlogTokens prompt tokens not read yet, by priority
-   * @param freeTokens cache memory that no stream holds
-   * @param streams streams running or waiting
-   * @param tokensPerSecond its reading speed
-   * @param leaving whether it is about to leave
-   * @param cacheEventsNext the number of the next cache event
+   * @param host the engine's name
+   * @param incarnation the engine's incarnation
+   * @param sequence rises with each report
+   * @param backlogTokens prompt tokens not prefilled yet, by priority
+   * @param freeTokens unused cache memory, in tokens
+   * @param streams number of running and waiting streams
+   * @param tokensPerSecond prefill throughput, in tokens per second
+   * @param leaving whether the engine is draining
+   * @param cacheEventsNext number of the next cache event
    */
   public record Load(
       String host,
@@ -76,31 +76,31 @@
       long tokensPerSecond,
       boolean leaving,
       long cacheEventsNext) {
-    /** Returns the load in the form that decisions take. */
+    /** Returns the load in the form that placement uses. */
     public LoadReport report() {
       return new LoadReport(sequence, backlogTokens, freeTokens, streams, tokensPerSecond);
     }
   }
 
-  /** One change of the prefix cache. */
+  /** A change of the prefix cache: block hashes that were stored and evicted. */
   public record CacheEvent(long number, List<Long> stored, List<Long> evicted) {}
 
-  /** Changes of the prefix cache from a number on, which may come late and with gaps. */
+  /** Consecutive changes of the prefix cache; they may arrive late and with gaps. */
   public record CacheEvents(List<CacheEvent> events) {}
 
-  /** What one owner holds on the engine. */
+  /** The resources that one owner holds on the engine. */
   public record Holding(String ownerHost, long ownerIncarnation, int streams, long tokens) {}
 
-  /** Everything that owners hold on the engine. */
+  /** The resources of all owners on the engine. */
   public record Holdings(List<Holding> holdings) {}
 
-  /** An order to free what an owner's incarnations up to one hold. */
+  /** Command to free the resources of an owner's incarnations up to the given one. */
   public record Sweep(String ownerHost, long upToIncarnation) {}
 
-  /** How much was freed. */
+  /** The resources that a sweep freed. */
   public record Swept(int streams, long tokens) {}
 
-  /** Faults that the stand-in is told to have; null leaves one as it is. */
+  /** Faults to inject into the stand-in; null leaves a fault unchanged. */
   public record Faults(
       Boolean refuse,
       Boolean silent,
--- a/org.fawndrum/src/org/fawndrum/protocol/ErrorBodies.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/ErrorBodies.java
@@ -5,11 +5,11 @@
 import org.fawndrum.protocol.ChatMessages.ErrorBody;
 import org.fawndrum.protocol.ChatMessages.ErrorDetail;
 
-/** Writes refusals as the error bodies that callers get. */
+/** Converts refusals to the error bodies that callers receive. */
 public final class ErrorBodies {
   private ErrorBodies() {}
 
-  /** Returns the body for a refused request. */
+  /** Returns the error body for a rejected request. */
   public static ErrorBody of(String requestId, Refusal refusal) {
     return new ErrorBody(
         new ErrorDetail(
--- a/org.fawndrum/src/org/fawndrum/protocol/FleetCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/FleetCodec.java
@@ -16,11 +16,11 @@
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.RequestAims;
 
-/** Reads and writes what daemons tell each other about themselves and their work at endpoints. */
+/** Converts the reports that daemons exchange about themselves and their work at endpoints. */
 public final class FleetCodec {
   private FleetCodec() {}
 
-  /** Returns a daemon as a message. */
+  /** Encodes a daemon. */
   public static DaemonPlace write(FleetMember member) {
     return DaemonPlace.newBuilder()
         .setHost(member.identity().host())
@@ -32,7 +32,7 @@
         .build();
   }
 
-  /** Returns the daemon in a message. */
+  /** Decodes a daemon. */
   public static FleetMember read(DaemonPlace place) {
     return new FleetMember(
         identity(place),
@@ -45,26 +45,26 @@
     return new HostIdentity(place.getHost(), place.getIncarnation());
   }
 
-  /** Returns starts of endpoints as messages. */
+  /** Encodes incarnations of endpoints. */
   public static List<EndpointStart> writeEndpoints(List<HostIdentity> endpoints) {
     return endpoints.stream()
         .map(
-            one ->
+            endpoint ->
                 EndpointStart.newBuilder()
-                    .setHost(one.host())
-                    .setIncarnation(one.incarnation())
+                    .setHost(endpoint.host())
+                    .setIncarnation(endpoint.incarnation())
                     .build())
         .toList();
   }
 
-  /** Returns the starts of endpoints in messages. */
+  /** Decodes incarnations of endpoints. */
   public static List<HostIdentity> readEndpoints(List<EndpointStart> messages) {
     return messages.stream()
-        .map(one -> new HostIdentity(one.getHost(), one.getIncarnation()))
+        .map(message -> new HostIdentity(message.getHost(), message.getIncarnation()))
         .toList();
   }
 
-  /** Returns a report as a message; times are written as ages, because clocks differ. */
+  /** Encodes a report; times are encoded as ages, because the clocks of hosts differ. */
   public static WorkReport write(FleetReport report, long nowMs) {
     WorkReport.Builder message =
         WorkReport.newBuilder()
@@ -81,18 +81,18 @@
                         .setHost(report.from().host())
                         .setIncarnation(report.from().incarnation())
                         .build()));
-    report.news().forEach(one -> write(message, one, nowMs));
+    report.news().forEach(update -> write(message, update, nowMs));
     return message.build();
   }
 
-  private static void write(WorkReport.Builder message, EngineNews news, long nowMs) {
-    if (news instanceof EngineNews.Placed placed) {
+  private static void write(WorkReport.Builder message, EngineNews update, long nowMs) {
+    if (update instanceof EngineNews.Placed placed) {
       message.addPlaced(placed(placed.job(), nowMs));
-    } else if (news instanceof EngineNews.Read read) {
-      message.addRead(read.id());
-    } else if (news instanceof EngineNews.Ended ended && ended.failed()) {
-      message.addFailed(ended.id());
-    } else if (news instanceof EngineNews.Ended ended) {
+    } else if (update instanceof EngineNews.Read prefilled) {
+      message.addRead(prefilled.id());
+    } else if (update instanceof EngineNews.Ended failure && failure.failed()) {
+      message.addFailed(failure.id());
+    } else if (update instanceof EngineNews.Ended ended) {
       message.addEnded(ended.id());
     }
   }
@@ -112,15 +112,15 @@
         .build();
   }
 
-  /** Returns the report in a message, its news in an order in which each can be understood. */
+  /** Decodes a report; a placement precedes the updates that refer to it. */
   public static FleetReport read(WorkReport message, long nowMs) {
-    List<EngineNews> news = new ArrayList<>();
-    for (WorkPlaced one : message.getPlacedList()) {
-      news.add(new EngineNews.Placed(job(one, nowMs)));
+    List<EngineNews> updates = new ArrayList<>();
+    for (WorkPlaced placement : message.getPlacedList()) {
+      updates.add(new EngineNews.Placed(job(placement, nowMs)));
     }
-    message.getReadList().forEach(id -> news.add(new EngineNews.Read(id)));
-    message.getEndedList().forEach(id -> news.add(new EngineNews.Ended(id, false)));
-    message.getFailedList().forEach(id -> news.add(new EngineNews.Ended(id, true)));
+    message.getReadList().forEach(id -> updates.add(new EngineNews.Read(id)));
+    message.getEndedList().forEach(id -> updates.add(new EngineNews.Ended(id, false)));
+    message.getFailedList().forEach(id -> updates.add(new EngineNews.Ended(id, true)));
     Optional<FleetMember> member =
         message.getWhole() ? Optional.of(read(message.getDaemon())) : Optional.empty();
     return new FleetReport(
@@ -129,18 +129,18 @@
         message.getSequence(),
         message.getAboutZone(),
         message.getWhole(),
-        news);
+        updates);
   }
 
-  private static EngineJob job(WorkPlaced one, long nowMs) {
+  private static EngineJob job(WorkPlaced placement, long nowMs) {
     return new EngineJob(
-        one.getId(),
-        new HostIdentity(one.getEndpoint(), one.getEndpointIncarnation()),
-        one.getPromptTokens(),
-        one.getMemoryTokens(),
-        Math.max(1, one.getParts()),
-        one.getWrites(),
-        new RequestAims(one.getFirstTokenAimMs(), one.getPauseAimMs(), 0),
-        nowMs - Math.max(0, one.getAgeMs()));
+        placement.getId(),
+        new HostIdentity(placement.getEndpoint(), placement.getEndpointIncarnation()),
+        placement.getPromptTokens(),
+        placement.getMemoryTokens(),
+        Math.max(1, placement.getParts()),
+        placement.getWrites(),
+        new RequestAims(placement.getFirstTokenAimMs(), placement.getPauseAimMs(), 0),
+        nowMs - Math.max(0, placement.getAgeMs()));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/protocol/HostListCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/HostListCodec.java
@@ -14,29 +14,29 @@
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.HostListing;
 
-/** Turns the platform's list of hosts into the system's own form. */
+/** Converts the platform's host list from and to the internal representation. */
 public final class HostListCodec {
-  /** The role of an entry host. */
+  /** Role of an entry host. */
   public static final String ENTRY = "entry";
 
-  /** The role of a model engine. */
+  /** Role of a model engine. */
   public static final String MODEL = "model";
 
-  /** The role of a plain service. */
+  /** Role of a plain service. */
   public static final String PLAIN = "plain";
 
   private HostListCodec() {}
 
   /**
-   * Returns the listing; hosts of a role that this version does not know are left out. A list
-   * without hosts says that nothing changed since its version, and must not be taken over.
+   * Decodes a host list; hosts with an unknown role are skipped. A list without hosts means that
+   * nothing changed since its version; the caller must not use the empty result.
    */
   public static HostListing decode(HostList list) {
     if (list.hosts() == null) {
       return new HostListing(list.version(), List.of(), Set.of(), List.of());
     }
     List<Endpoint> endpoints = new ArrayList<>();
-    Set<HostIdentity> leaving = new HashSet<>();
+    Set<HostIdentity> draining = new HashSet<>();
     List<EntryHost> entryHosts = new ArrayList<>();
     for (ListedHost host : list.hosts()) {
       HostAddress address = new HostAddress(host.ip(), host.port());
@@ -44,8 +44,8 @@
         entryHosts.add(new EntryHost(host.name(), host.zone(), address));
         continue;
       }
-      boolean known = MODEL.equals(host.role()) || PLAIN.equals(host.role());
-      if (!known) {
+      boolean knownRole = MODEL.equals(host.role()) || PLAIN.equals(host.role());
+      if (!knownRole) {
         continue;
       }
       HostIdentity identity = new HostIdentity(host.name(), host.incarnation());
@@ -54,13 +54,13 @@
       endpoints.add(
           new Endpoint(identity, host.zone(), kind, address, serves, host.memoryTokens()));
       if (host.leaving()) {
-        leaving.add(identity);
+        draining.add(identity);
       }
     }
-    return new HostListing(list.version(), endpoints, leaving, entryHosts);
+    return new HostListing(list.version(), endpoints, draining, entryHosts);
   }
 
-  /** Returns a listing in the platform's form, so that a daemon can hand it to another. */
+  /** Encodes a listing in the platform's format, for transfer between daemons. */
   public static HostList encode(HostListing listing) {
     List<ListedHost> hosts = new ArrayList<>();
     for (EntryHost host : listing.entryHosts()) {
--- a/org.fawndrum/src/org/fawndrum/protocol/HostListSource.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/HostListSource.java
@@ -4,11 +4,11 @@
 import java.util.concurrent.CompletableFuture;
 import org.fawndrum.state.HostListing;
 
-/** The platform's list of live and leaving hosts, which lags. Safe for all threads. */
+/** Source of the platform's host list, which lags behind the actual state. Thread-safe. */
 public interface HostListSource {
   /**
-   * Gives the list as the platform has it now; fails with {@code PlatformUnavailableException} when
-   * the platform does not answer.
+   * Returns the current host list of the platform; fails with {@code PlatformUnavailableException}
+   * if the platform does not answer.
    */
   CompletableFuture<HostListing> hosts();
 }
--- a/org.fawndrum/src/org/fawndrum/protocol/Json.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/Json.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Reads and writes typed messages as JSON. Unknown fields of others' messages are passed over. */
+/** Serializes and parses typed messages as JSON. Unknown fields are ignored when parsing. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -20,7 +20,7 @@
 
   private Json() {}
 
-  /** Returns a message as one line of JSON. */
+  /** Serializes a message to one line of JSON, without null fields. */
   public static String write(Object message) {
     try {
       return MAPPER.writeValueAsString(message);
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Reads a message.
+   * Parses a message.
    *
-   * @throws IOException if the bytes are no JSON of the type's form
+   * @throws IOException if the bytes are not valid JSON for the type
    */
   public static <T> T read(byte[] bytes, Class<T> type) throws IOException {
     T message = MAPPER.readValue(bytes, type);
@@ -42,7 +42,7 @@
     return message;
   }
 
-  /** Reads a message from text; see {@link #read(byte[], Class)}. */
+  /** Parses a message from text; see {@link #read(byte[], Class)}. */
   public static <T> T read(String text, Class<T> type) throws IOException {
     T message = MAPPER.readValue(text, type);
     if (message == null) {
--- a/org.fawndrum/src/org/fawndrum/protocol/KeyedLog.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/KeyedLog.java
@@ -4,25 +4,26 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads the platform's keyed logs. Futures fail with {@code PlatformUnavailableException} when the
- * platform does not answer, and with {@code RecordsExpiredException} when records are gone.
+ * Reader of the platform's keyed logs. Futures fail with {@code PlatformUnavailableException} if
+ * the platform does not answer, and with {@code RecordsExpiredException} if the requested records
+ * have expired.
  */
 public interface KeyedLog {
-  /** A log with keys. */
+  /** A keyed log. */
   enum Topic {
-    /** What operators write. */
+    /** Records written by operators. */
     OPERATORS,
-    /** What endpoints write about themselves. */
+    /** Records that endpoints write about themselves. */
     ENDPOINTS
   }
 
-  /** Gives the newest record of each key, and the offset from which to read on. */
+  /** Returns the newest record of each key, and the offset to continue reading from. */
   CompletableFuture<KeyedPage> newest(Topic topic);
 
   /**
-   * Gives the records from an offset on, as soon as there is one.
+   * Returns the records from an offset on, as soon as there is at least one.
    *
-   * @param waitMs the longest wait for a record, in milliseconds; 0 answers at once
+   * @param waitMs maximum wait for a record, in milliseconds; 0 returns immediately
    */
   CompletableFuture<KeyedPage> read(Topic topic, long from, long waitMs);
 }
--- a/org.fawndrum/src/org/fawndrum/protocol/KeyedPage.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/KeyedPage.java
@@ -4,43 +4,43 @@
 import java.util.List;
 
 /**
- * Records of a keyed log.
+ * A page of records of a keyed log. Immutable.
  *
- * @param records the records in their order
- * @param end the offset after the last record that the log holds
- * @param era the store's era, in which all these offsets are; 0 where it does not tell it
+ * @param records the records in log order
+ * @param end offset after the last record of the log
+ * @param era the store's epoch, which these offsets belong to; 0 if the store does not report it
  */
 public record KeyedPage(List<KeyedRecord> records, long end, long era) {
   /**
-   * One record.
+   * A record.
    *
-   * @param offset its place in the log
-   * @param key its key
-   * @param value its value; empty when it drops the key
+   * @param offset offset in the log
+   * @param key the key
+   * @param value the value; empty if the record deletes the key
    */
   public record KeyedRecord(long offset, String key, byte[] value) {
-    /** Tells whether the record drops its key. */
+    /** Whether the record deletes its key. */
     public boolean drops() {
       return value.length == 0;
     }
   }
 
-  /** Copies the list, so that the page cannot change. */
+  /** Makes a defensive copy of the records. */
   public KeyedPage {
     records = List.copyOf(records);
   }
 
-  /** Makes the page of a store that does not tell its era. */
+  /** Creates a page of a store that does not report its epoch. */
   public KeyedPage(List<KeyedRecord> records, long end) {
     this(records, end, 0);
   }
 
-  /** Returns where the log ends. */
+  /** Returns the position after the last record of the log. */
   public StorePosition endPosition() {
     return new StorePosition(era, end);
   }
 
-  /** Returns the place after a record of this page. */
+  /** Returns the position after a record of this page. */
   public StorePosition after(KeyedRecord record) {
     return new StorePosition(era, record.offset() + 1);
   }
--- a/org.fawndrum/src/org/fawndrum/protocol/LogCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/LogCodec.java
@@ -18,11 +18,11 @@
 import org.fawndrum.state.Publication;
 import org.fawndrum.state.TableRevision;
 
-/** Writes and reads the records that the system keeps on the platform's log. */
+/** Encodes and decodes the records that the system keeps on the platform's log. */
 public final class LogCodec {
   private LogCodec() {}
 
-  /** Returns the bytes of a publication. */
+  /** Encodes a publication. */
   public static byte[] publication(Publication publication) {
     PublicationRecord.Builder record =
         PublicationRecord.newBuilder()
@@ -33,13 +33,13 @@
     return LogEntry.newBuilder().setPublication(record).build().toByteArray();
   }
 
-  /** Returns the bytes of a registration. */
+  /** Encodes a registration. */
   public static byte[] registration(Registration registration) {
     RegistrationRecord record = registrationRecord(registration);
     return LogEntry.newBuilder().setRegistration(record).build().toByteArray();
   }
 
-  /** Returns a registration as it is written. */
+  /** Returns the record of a registration. */
   static RegistrationRecord registrationRecord(Registration registration) {
     return RegistrationRecord.newBuilder()
         .setHost(registration.identity().host())
@@ -51,7 +51,7 @@
         .build();
   }
 
-  /** Returns the bytes of a snapshot of a table with everybody registered. */
+  /** Encodes a snapshot of a table with all registrations. */
   public static byte[] snapshot(TableRevision table, List<Registration> members) {
     return LogEntry.newBuilder()
         .setSnapshot(SnapshotCodec.encode(table, members))
@@ -60,9 +60,9 @@
   }
 
   /**
-   * Reads a record.
+   * Decodes a log record.
    *
-   * @throws RecordUnreadableException if the bytes are no record
+   * @throws RecordUnreadableException if the bytes are not a valid record
    */
   public static LogEntry read(long offset, byte[] bytes) {
     try {
@@ -73,18 +73,18 @@
   }
 
   /**
-   * Returns the publication that a record holds, or null when it names a row or column that this
-   * version does not know; such a publication changes nothing.
+   * Returns the publication in a record, or null if it contains a column that this version does not
+   * know; such a publication has no effect.
    */
   public static Publication publication(PublicationRecord record) {
     List<CellChange> changes = record.getChangesList().stream().map(LogCodec::change).toList();
-    boolean known = changes.stream().allMatch(change -> change.key().column() != null);
-    return known
+    boolean columnsKnown = changes.stream().allMatch(change -> change.key().column() != null);
+    return columnsKnown
         ? new Publication(record.getId(), record.getOperator(), record.getEditedFrom(), changes)
         : null;
   }
 
-  /** Returns the registration that a record holds. */
+  /** Returns the registration in a record. */
   public static Registration registration(RegistrationRecord record) {
     return new Registration(
         new HostIdentity(record.getHost(), record.getIncarnation()),
--- a/org.fawndrum/src/org/fawndrum/protocol/OperatorMessages.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/OperatorMessages.java
@@ -4,28 +4,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** The JSON messages of the operators' address. */
+/** The JSON messages of the operator API. */
 public final class OperatorMessages {
   private OperatorMessages() {}
 
   /**
-   * How a daemon stands.
+   * Status of a daemon.
    *
-   * @param host its name
-   * @param incarnation its incarnation
+   * @param host the host's name
+   * @param incarnation the host's incarnation
    * @param zone its availability zone
-   * @param version the version of the program
+   * @param version the program's version
    * @param state {@code starting}, {@code ready}, {@code draining} or {@code drained}
-   * @param platformUp whether the platform answered last
-   * @param tableRevision the table revision in force
-   * @param tablePosition the log position replayed
-   * @param requestsOpen requests without a final answer
-   * @param requestsWaiting requests waiting for an endpoint
-   * @param claimsRegistered whether calls that may not be repeated are served
-   * @param endpointsOpen endpoints that may get new work
-   * @param endpointsLeaving endpoints that are leaving
-   * @param eventsRefused offers that rings refused since the start
-   * @param peers what is known of the other daemons
+   * @param platformUp whether the platform answered the last call
+   * @param tableRevision the current table revision
+   * @param tablePosition the replayed log position
+   * @param requestsOpen number of requests in progress
+   * @param requestsWaiting number of requests that wait for an endpoint
+   * @param claimsRegistered whether the daemon serves calls that may not be repeated
+   * @param endpointsOpen endpoints that accept new work
+   * @param endpointsLeaving draining endpoints
+   * @param eventsRefused number of events that full ring buffers rejected since the start
+   * @param peers the status of the other daemons, as known here
    */
   public record Status(
       String host,
@@ -44,7 +44,7 @@
       long eventsRefused,
       List<PeerStatus> peers) {}
 
-  /** What is known of another daemon. */
+  /** Status of another daemon; {@code heardMsAgo} is the age of its last message. */
   public record PeerStatus(
       String host,
       long incarnation,
@@ -54,7 +54,7 @@
       boolean draining,
       long heardMsAgo) {}
 
-  /** One decision as it is shown. */
+  /** A decision about a request. */
   public record DecisionView(
       String request,
       String workspace,
@@ -74,62 +74,62 @@
       List<PassedOverView> passedOver,
       ReadingView reading) {}
 
-  /** How a prompt is read; no time is taken before its first token came. */
+  /** Prefill of a prompt; {@code tookMs} is null until the first token arrives. */
   public record ReadingView(List<String> engines, long expectedMs, Long tookMs) {}
 
-  /** An endpoint that was weighed and not chosen. */
+  /** An endpoint that was considered but not selected. */
   public record PassedOverView(String endpoint, long expectedMs) {}
 
-  /** One request's whole story. */
+  /** All recorded decisions about one request. */
   public record Story(String request, List<DecisionView> decisions) {}
 
-  /** One published cell. */
+  /** A published cell. */
   public record CellView(String group, String column, String value, long offset, String operator) {}
 
-  /** The table in force. */
+  /** The current table. */
   public record TableView(long revision, long position, List<CellView> cells) {}
 
   /** A cell to change; a null value clears it. */
   public record ChangeView(String group, String column, String value) {}
 
-  /** A wish to publish. */
+  /** Request to publish changes based on the revision {@code editedFrom}. */
   public record Publish(String id, long editedFrom, List<ChangeView> changes) {}
 
   /**
-   * What became of a publication.
+   * Outcome of a publication.
    *
-   * @param id its id
+   * @param id the publication's id
    * @param outcome {@code accepted}, {@code lost}, {@code invalid} or {@code unknown}
-   * @param offset where it stands in the log, -1 when that is not known
-   * @param cells the cells that decided against it, with who set them
+   * @param offset its log offset, -1 if unknown
+   * @param cells the cells because of which it was not accepted, with the operators who set them
    */
   public record Published(String id, String outcome, long offset, List<DeciderView> cells) {}
 
-  /** A cell that decided against a publication. */
+  /** A cell because of which a publication was not accepted. */
   public record DeciderView(
       String group, String column, String value, String operator, long offset, String allowed) {}
 
-  /** The newest publications, oldest first. */
+  /** The latest publications, oldest first. */
   public record History(List<Published> publications) {}
 
-  /** The answer to a drain order. */
+  /** Answer to a drain command. */
   public record Draining(int requestsOpen) {}
 
-  /** An error of the operators' address. */
+  /** An error of the operator API. */
   public record Failure(String error, String message) {}
 
-  /** Values of all metrics by name. */
+  /** Values of all metrics, by name. */
   public record MetricsView(Map<String, Map<String, Number>> metrics) {}
 
   /**
-   * A request that is turned away because endpoints end under it.
+   * A request that is rejected because endpoints crashed while running it.
    *
-   * @param fingerprint what it asks and who asks it, as in the log
-   * @param sinceMs since when, as a Unix time in milliseconds
-   * @param endpoints the starts of the endpoints that ended under it before
+   * @param fingerprint identifies content and caller of the request, as in the log
+   * @param sinceMs time since which it is rejected, in Unix milliseconds
+   * @param endpoints the endpoint incarnations that crashed while running it
    */
   public record RefusedView(String fingerprint, long sinceMs, List<String> endpoints) {}
 
-  /** All requests that a daemon turns away so. */
+  /** All requests that a daemon rejects for this reason. */
   public record RefusedListView(List<RefusedView> refused) {}
 }
--- a/org.fawndrum/src/org/fawndrum/protocol/OperatorViews.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/OperatorViews.java
@@ -25,21 +25,21 @@
 import org.fawndrum.state.PublicationOutcome;
 import org.fawndrum.state.TableRevision;
 
-/** Turns the system's own data into the messages of the operators' address. */
+/** Converts internal data to the messages of the operator API. */
 public final class OperatorViews {
-  /** The outcome of a publication that is not decided yet. */
+  /** Outcome of a publication that has not been replayed yet. */
   public static final String UNKNOWN = "unknown";
 
-  /** Where daemons list the requests that they turn away, on the address of their figures. */
+  /** Path of the list of rejected requests, on the metrics address. */
   public static final String REFUSED_PATH = "/refused";
 
   private OperatorViews() {}
 
-  /** Returns a decision as it is shown. */
+  /** Converts a decision. */
   public static DecisionView decision(Decision decision) {
     List<PassedOverView> passedOver =
         decision.passedOver().stream()
-            .map(one -> new PassedOverView(one.endpoint(), one.expectedMs()))
+            .map(endpoint -> new PassedOverView(endpoint.endpoint(), endpoint.expectedMs()))
             .toList();
     return new DecisionView(
         decision.requestId(),
@@ -49,8 +49,8 @@
         decision.promptTokens(),
         decision.atMs(),
         decision.sinceArrivalMs(),
-        word(decision.kind()),
-        word(decision.reason()),
+        lowerCaseName(decision.kind()),
+        lowerCaseName(decision.reason()),
         decision.endpoint().orElse(null),
         decision.attempt(),
         decision.cell().map(CellKey::toString).orElse(null),
@@ -66,11 +66,11 @@
     return new ReadingView(reading.engines(), reading.expectedMs(), tookMs);
   }
 
-  private static String word(Enum<?> value) {
+  private static String lowerCaseName(Enum<?> value) {
     return value.name().toLowerCase(Locale.ROOT);
   }
 
-  /** Returns the table in force. */
+  /** Converts a table; cells without a published value are omitted. */
   public static TableView table(TableRevision table) {
     List<CellView> cells = new ArrayList<>();
     TableCsv.sorted(table)
@@ -94,7 +94,7 @@
         cell.operator());
   }
 
-  /** Returns changes as they are sent. */
+  /** Converts changes. */
   public static List<ChangeView> changes(List<CellChange> changes) {
     return changes.stream()
         .map(
@@ -106,7 +106,7 @@
         .toList();
   }
 
-  /** Returns what became of a publication. */
+  /** Converts the outcome of a publication. */
   public static Published published(String id, PublicationOutcome outcome) {
     if (outcome instanceof PublicationOutcome.Lost lost) {
       List<DeciderView> cells =
@@ -118,16 +118,16 @@
     if (outcome instanceof PublicationOutcome.Invalid invalid) {
       return new Published(id, "invalid", outcome.offset(), badCells(invalid.badCells()));
     }
-    String word = outcome instanceof PublicationOutcome.Accepted ? "accepted" : "invalid";
-    return new Published(id, word, outcome.offset(), List.of());
+    String outcomeName = outcome instanceof PublicationOutcome.Accepted ? "accepted" : "invalid";
+    return new Published(id, outcomeName, outcome.offset(), List.of());
   }
 
-  /** Returns a publication of which nothing is known yet. */
+  /** Returns the view of a publication without a known outcome. */
   public static Published unknown(String id) {
     return new Published(id, UNKNOWN, -1, List.of());
   }
 
-  /** Returns cells whose values are not allowed. */
+  /** Converts cells whose values are not valid. */
   public static List<DeciderView> badCells(List<PublicationOutcome.BadCell> badCells) {
     return badCells.stream()
         .map(
@@ -152,18 +152,21 @@
         null);
   }
 
-  /** Returns the newest publications, oldest first. */
+  /** Returns the latest publications, oldest first. */
   public static History history(TableRevision table) {
     List<Published> publications = new ArrayList<>();
     table.outcomes().forEach((id, outcome) -> publications.add(published(id, outcome)));
     return new History(publications);
   }
 
-  /** Returns the requests that are turned away as operators see them. */
+  /** Converts the requests that are rejected because endpoints crashed while running them. */
   public static RefusedListView refused(List<RefusedRequest> refused) {
     return new RefusedListView(
         refused.stream()
-            .map(one -> new RefusedView(one.request().toString(), one.sinceMs(), one.endpoints()))
+            .map(
+                request ->
+                    new RefusedView(
+                        request.request().toString(), request.sinceMs(), request.endpoints()))
             .toList());
   }
 }
--- a/org.fawndrum/src/org/fawndrum/protocol/PeerCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/PeerCodec.java
@@ -18,17 +18,18 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 
-/** Reads and writes the messages between daemons. */
+/** Encodes and decodes the messages between daemons. */
 public final class PeerCodec {
-  /** The largest message, in bytes: a snapshot of 10,000 rows fits. */
+  /** Maximum size of a message, in bytes; large enough for a snapshot of 10,000 rows. */
   public static final int LARGEST = 16 << 20;
 
   private PeerCodec() {}
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @throws BadPeerFrameException if the bytes are no message, or one without sender or body
+   * @throws BadPeerFrameException if the bytes are not a valid message, or it lacks a sender or
+   *     body
    */
   public static PeerMessage read(byte[] bytes) {
     PeerMessage message;
@@ -46,7 +47,7 @@
     return message;
   }
 
-  /** Begins a message of a sender. */
+  /** Returns a builder for a message of the given sender. */
   public static PeerMessage.Builder from(HostIdentity sender) {
     return PeerMessage.newBuilder()
         .setFromHost(sender.host())
@@ -58,7 +59,7 @@
     return new HostIdentity(message.getFromHost(), message.getFromIncarnation());
   }
 
-  /** Returns a heartbeat that tells facts. */
+  /** Encodes the state of this daemon in a heartbeat. */
   public static Heartbeat.Builder heartbeat(PeerFacts facts) {
     return Heartbeat.newBuilder()
         .setZone(facts.zone())
@@ -73,7 +74,7 @@
         .setRunningRequests(facts.runningRequests());
   }
 
-  /** Returns the facts that a heartbeat tells. */
+  /** Decodes the state of a peer from its heartbeat. */
   public static PeerFacts facts(HostIdentity sender, Heartbeat heartbeat) {
     return new PeerFacts(
         sender,
@@ -88,7 +89,7 @@
         heartbeat.getRunningRequests());
   }
 
-  /** Returns a claim's answer as a message. */
+  /** Encodes the answer to a claim. */
   public static ClaimReply claimReply(ClaimAnswer answer) {
     ClaimReply.Answer wire =
         switch (answer) {
@@ -99,7 +100,7 @@
     return ClaimReply.newBuilder().setAnswer(wire).build();
   }
 
-  /** Returns the answer in a message; an unknown one counts as held, which is always safe. */
+  /** Decodes the answer to a claim; an unknown value counts as held, which is always safe. */
   public static ClaimAnswer claimAnswer(ClaimReply reply) {
     return switch (reply.getAnswer()) {
       case FREE -> ClaimAnswer.FREE;
@@ -108,29 +109,29 @@
     };
   }
 
-  /** Returns the keys of a stopping host as a message; ages are told because clocks differ. */
-  public static LedgerHandover handover(List<OnceLedger.Inherited> handed, long nowMs) {
+  /** Encodes the claim keys of a stopping host; times are sent as ages, because clocks differ. */
+  public static LedgerHandover handover(List<OnceLedger.Inherited> entries, long nowMs) {
     LedgerHandover.Builder message = LedgerHandover.newBuilder();
-    for (OnceLedger.Inherited one : handed) {
+    for (OnceLedger.Inherited entry : entries) {
       message.addEntries(
           LedgerEntry.newBuilder()
-              .setKey(one.key().toString())
-              .setRan(one.state() == OnceLedger.State.RAN)
-              .setAgeMs(nowMs - one.changedMs()));
+              .setKey(entry.key().toString())
+              .setRan(entry.state() == OnceLedger.State.RAN)
+              .setAgeMs(nowMs - entry.changedMs()));
     }
     return message.build();
   }
 
-  /** Returns the keys in a message; entries whose key cannot be read are left out. */
+  /** Decodes entries-over claim keys; skips entries with a malformed key. */
   public static List<OnceLedger.Inherited> inherited(LedgerHandover message, long nowMs) {
-    List<OnceLedger.Inherited> handed = new ArrayList<>();
+    List<OnceLedger.Inherited> entries = new ArrayList<>();
     for (LedgerEntry entry : message.getEntriesList()) {
       ClaimKey key = ClaimKey.parse(entry.getKey());
       if (key != null) {
         OnceLedger.State state = entry.getRan() ? OnceLedger.State.RAN : OnceLedger.State.UNKNOWN;
-        handed.add(new OnceLedger.Inherited(key, state, nowMs - entry.getAgeMs()));
+        entries.add(new OnceLedger.Inherited(key, state, nowMs - entry.getAgeMs()));
       }
     }
-    return handed;
+    return entries;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/protocol/PlatformLog.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/PlatformLog.java
@@ -5,29 +5,29 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's append-only log. Safe for all threads. Futures fail with {@code
- * PlatformUnavailableException} when the platform does not answer; an append that fails so may have
- * taken effect all the same.
+ * The platform's append-only log. Thread-safe. Futures fail with {@code
+ * PlatformUnavailableException} if the platform does not answer; an append that failed this way may
+ * still have taken effect.
  */
 public interface PlatformLog {
-  /** Appends a record and gives its offset. */
+  /** Appends a record and returns its offset. */
   CompletableFuture<Long> append(byte[] content);
 
   /**
-   * Reads records from an offset on, at most {@code most}. When the offset has been forgotten, the
-   * batch begins at the first one held.
+   * Reads up to {@code maxRecords} records from an offset on. If that offset has expired, the batch
+   * starts at the first record that the log retains.
    */
-  CompletableFuture<Batch> read(long from, int most);
+  CompletableFuture<Batch> read(long from, int maxRecords);
 
   /**
-   * Records of the log.
+   * A batch of log records.
    *
-   * @param first the first offset that the log still holds
-   * @param next the offset that the next append will get
-   * @param records the records, in order
+   * @param first the first offset that the log retains
+   * @param next the offset of the next append
+   * @param records the records, in log order
    */
   record Batch(long first, long next, List<LogRecord> records) {}
 
-  /** One record. */
+  /** A log record. */
   record LogRecord(long offset, byte[] content) {}
 }
--- a/org.fawndrum/src/org/fawndrum/protocol/PlatformMessages.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/PlatformMessages.java
@@ -7,36 +7,36 @@
 public final class PlatformMessages {
   private PlatformMessages() {}
 
-  /** A record to append; the content is base64. */
+  /** A record to append; the content is Base64. */
   public record Append(String content) {}
 
-  /** Where a record was appended. */
+  /** Offset of an appended record. */
   public record Appended(long offset) {}
 
-  /** A record of the log; the content is base64. */
+  /** A record of the log; the content is Base64. */
   public record StoredRecord(long offset, String content) {}
 
   /**
-   * Records of the log.
+   * A batch of log records.
    *
-   * @param first the first offset that the log still holds
-   * @param next the offset that the next append will get
-   * @param records the records from the offset asked for, in order
+   * @param first the first offset that the log retains
+   * @param next the offset of the next append
+   * @param records the records from the requested offset on, in log order
    */
   public record Batch(long first, long next, List<StoredRecord> records) {}
 
   /**
-   * One host on the platform's list.
+   * A host on the platform's host list.
    *
-   * @param name its name
-   * @param incarnation grows with each start
+   * @param name the host's name
+   * @param incarnation rises with each start
    * @param zone its availability zone
    * @param role {@code entry}, {@code model} or {@code plain}
-   * @param ip its IP number
+   * @param ip its IP address
    * @param port its port
-   * @param serves the models or services that it serves
+   * @param serves names of the models or services that it serves
    * @param memoryTokens cache memory of a model engine, in tokens
-   * @param leaving whether it is about to leave
+   * @param leaving whether it is draining
    */
   public record ListedHost(
       String name,
@@ -50,12 +50,12 @@
       boolean leaving) {}
 
   /**
-   * The whole list; its version grows with each change. Without hosts when nothing changed since
-   * the version that the reader named.
+   * The complete host list; its version rises with each change. The hosts are null if nothing
+   * changed since the version in the request.
    */
   public record HostList(long version, List<ListedHost> hosts) {}
 
-  /** Faults that the stand-in is told to have; null leaves one as it is. */
+  /** Faults to inject into the stand-in; null leaves a fault unchanged. */
   public record Faults(
       Boolean down,
       Boolean loseConfirmations,
--- a/org.fawndrum/src/org/fawndrum/protocol/SnapshotCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/SnapshotCodec.java
@@ -23,16 +23,16 @@
 import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
 
-/** Writes and reads whole tables. The digest guards against cut or mixed snapshots. */
+/** Encodes and decodes snapshots of tables. A digest detects truncated or mixed snapshots. */
 public final class SnapshotCodec {
   private SnapshotCodec() {}
 
-  /** Returns a snapshot of a table alone. */
+  /** Encodes a snapshot of a table without registrations. */
   public static SnapshotRecord encode(TableRevision table) {
     return encode(table, List.of());
   }
 
-  /** Returns a snapshot with its digest; equal tables and members give equal bytes. */
+  /** Encodes a snapshot with its digest; equal tables and members yield equal bytes. */
   public static SnapshotRecord encode(TableRevision table, List<Registration> members) {
     SnapshotRecord.Builder record =
         SnapshotRecord.newBuilder().setPosition(table.position()).setRevision(table.revision());
@@ -45,13 +45,13 @@
   }
 
   /**
-   * Reads a snapshot.
+   * Decodes a snapshot.
    *
-   * @throws BadSnapshotException if its digest does not match or it names unknown columns
+   * @throws BadSnapshotException if the digest does not match or a column is unknown
    */
   public static TableRevision decode(SnapshotRecord record) {
-    SnapshotRecord bare = record.toBuilder().clearDigest().build();
-    if (!digest(bare).equals(record.getDigest())) {
+    SnapshotRecord withoutDigest = record.toBuilder().clearDigest().build();
+    if (!digest(withoutDigest).equals(record.getDigest())) {
       throw new BadSnapshotException(record.getPosition());
     }
     TableParts parts = new TableParts(record.getRevision(), record.getPosition());
@@ -65,15 +65,15 @@
     return parts.outcomes(outcomes).build();
   }
 
-  /** Returns everybody whom a snapshot names as registered. */
+  /** Returns the registrations in a snapshot. */
   public static List<Registration> members(SnapshotRecord record) {
     return record.getMembersList().stream().map(LogCodec::registration).toList();
   }
 
-  private static ByteString digest(SnapshotRecord bare) {
+  private static ByteString digest(SnapshotRecord withoutDigest) {
     try {
       MessageDigest sha = MessageDigest.getInstance("SHA-256");
-      return ByteString.copyFrom(sha.digest(bare.toByteArray()));
+      return ByteString.copyFrom(sha.digest(withoutDigest.toByteArray()));
     } catch (NoSuchAlgorithmException e) {
       throw new AssertionError(e);
     }
--- a/org.fawndrum/src/org/fawndrum/protocol/StorePosition.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/StorePosition.java
@@ -4,16 +4,17 @@
 import java.util.Comparator;
 
 /**
- * A place in a log of the platform's store. The store may come back from a copy of itself; its era
- * rises then, and offsets are given out again. So an offset says something only with its era, and
- * every offset of a later era comes after all of an earlier one. Immutable.
+ * A position in a log of the platform's store. When the store is restored from an older copy, its
+ * epoch rises and offsets are reused. An offset is therefore meaningful only together with its
+ * epoch, and every position of a later epoch comes after all positions of an earlier one.
+ * Immutable.
  *
- * @param era counts how often the store went back; 0 where it does not tell it, -1 before anything
- *     was read
- * @param offset the offset of a record, or the end of the log; -1 before anything was read
+ * @param era number of times the store was restored; 0 if the store does not report it, -1 before
+ *     the first read
+ * @param offset offset of a record, or the end of the log; -1 before the first read
  */
 public record StorePosition(long era, long offset) implements Comparable<StorePosition> {
-  /** Before anything was read. */
+  /** Position before the first read. */
   public static final StorePosition NONE = new StorePosition(-1, -1);
 
   private static final Comparator<StorePosition> ORDER =
@@ -24,17 +25,17 @@
     return ORDER.compare(this, other);
   }
 
-  /** Tells whether this comes after another place. */
+  /** Whether this position comes after another one. */
   public boolean isAfter(StorePosition other) {
     return compareTo(other) > 0;
   }
 
-  /** Returns the later of two places. */
+  /** Returns the later of two positions. */
   public StorePosition max(StorePosition other) {
     return other.isAfter(this) ? other : this;
   }
 
-  /** Tells whether anything was read. */
+  /** Whether anything has been read. */
   public boolean isKnown() {
     return offset >= 0;
   }
--- a/org.fawndrum/src/org/fawndrum/protocol/TableCsv.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/TableCsv.java
@@ -24,7 +24,7 @@
 import org.fawndrum.state.Row;
 import org.fawndrum.state.TableRevision;
 
-/** The table as CSV that a spreadsheet opens: a header, then one line for each caller group. */
+/** Converts the table from and to CSV: a header line, then one line per caller group. */
 public final class TableCsv {
   private static final String GROUP_HEADER = "group";
   private static final CsvMapper MAPPER =
@@ -35,7 +35,7 @@
 
   private TableCsv() {}
 
-  /** Returns the table as CSV; cells that nobody published stay empty. */
+  /** Returns the table as CSV; cells without a published value are empty. */
   public static String write(TableRevision table) {
     List<String[]> lines = new ArrayList<>();
     lines.add(header());
@@ -75,10 +75,11 @@
   }
 
   /**
-   * Reads CSV and returns the cells that differ from a table. An empty cell clears a published
-   * value. Rows of the table that the file lacks are left as they are.
+   * Parses CSV and returns the cells that differ from a table. An empty cell clears a published
+   * value. Rows of the table that are missing in the file are not changed.
    *
-   * @throws BadCsvException if the text is no table; names line, column, value and what is allowed
+   * @throws BadCsvException if the text is not a valid table; names line, column, value and the
+   *     valid values
    */
   public static List<CellChange> changes(String csv, TableRevision table) {
     List<String[]> lines = lines(csv);
@@ -102,9 +103,9 @@
 
   private static List<String[]> lines(String csv) {
     List<String[]> lines = new ArrayList<>();
-    try (MappingIterator<String[]> read = MAPPER.readerFor(String[].class).readValues(csv)) {
-      while (read.hasNextValue()) {
-        lines.add(read.nextValue());
+    try (MappingIterator<String[]> parsed = MAPPER.readerFor(String[].class).readValues(csv)) {
+      while (parsed.hasNextValue()) {
+        lines.add(parsed.nextValue());
       }
     } catch (IOException | RuntimeException e) {
       throw new BadCsvException(lines.size() + 1, "1", "", "comma-separated values");
@@ -120,8 +121,8 @@
     for (int c = 1; c < header.length; c++) {
       columns[c] = Column.named(header[c].strip());
       if (columns[c] == null) {
-        String known = String.join(" ", Arrays.copyOfRange(header(), 1, header().length));
-        throw new BadCsvException(1, Integer.toString(c + 1), header[c], "one of " + known);
+        String columnNames = String.join(" ", Arrays.copyOfRange(header(), 1, header().length));
+        throw new BadCsvException(1, Integer.toString(c + 1), header[c], "one of " + columnNames);
       }
     }
     return columns;
@@ -141,17 +142,17 @@
   private static void addChange(
       List<CellChange> changes, CellKey key, Row row, String text, int line) {
     String published = row.cell(key.column()).map(Cell::value).orElse(null);
-    String wanted = text.isEmpty() ? null : text;
-    if (wanted != null && !key.column().rule().allows(wanted)) {
+    String newValue = text.isEmpty() ? null : text;
+    if (newValue != null && !key.column().rule().allows(newValue)) {
       throw new BadCsvException(
-          line, key.column().columnName(), wanted, key.column().rule().allowed());
+          line, key.column().columnName(), newValue, key.column().rule().allowed());
     }
-    if (!java.util.Objects.equals(published, wanted)) {
-      changes.add(new CellChange(key, wanted));
+    if (!java.util.Objects.equals(published, newValue)) {
+      changes.add(new CellChange(key, newValue));
     }
   }
 
-  /** Returns the rows in use in the order in which they are shown. */
+  /** Returns the rows, sorted by caller group. */
   public static Map<CallerGroup, Row> sorted(TableRevision table) {
     return new TreeMap<>(table.rows());
   }
--- a/org.fawndrum/src/org/fawndrum/settings/CallerKey.java
+++ b/org.fawndrum/src/org/fawndrum/settings/CallerKey.java
@@ -3,7 +3,7 @@
 
 import org.fawndrum.state.CallerGroup;
 
-/** The key of a caller group. Not printed. */
+/** API key of a caller group. {@link #toString} omits the key. */
 public record CallerKey(String key, CallerGroup group) {
   @Override
   public String toString() {
--- a/org.fawndrum/src/org/fawndrum/settings/HostSettings.java
+++ b/org.fawndrum/src/org/fawndrum/settings/HostSettings.java
@@ -5,19 +5,19 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * The checked settings of a daemon.
+ * The validated settings of a daemon. Immutable.
  *
  * @param host the host's name, unique in the system
  * @param zone its availability zone
- * @param callers where callers come in
- * @param operators where operators and the balancer's probes come in
- * @param peers where other daemons come in
- * @param platform where the platform's log and host list are
- * @param seeds peers to ask when the platform does not answer
- * @param callerKeys the callers' keys
- * @param operatorKeys the operators' keys
- * @param limits this daemon's own limits
- * @param jsonLog whether log lines are JSON
+ * @param callers listen address for callers
+ * @param operators listen address for operators and the balancer's probes
+ * @param peers listen address for other daemons
+ * @param platform address of the platform's log and host list
+ * @param seeds peers to query while the platform is unavailable
+ * @param callerKeys the API keys of callers
+ * @param operatorKeys the API keys of operators
+ * @param limits the limits of this daemon
+ * @param jsonLog whether log lines are written as JSON
  * @param debugLog whether each decision is logged
  */
 public record HostSettings(
@@ -33,7 +33,7 @@
     LimitSettings limits,
     boolean jsonLog,
     boolean debugLog) {
-  /** Copies the lists, so that the settings cannot change. */
+  /** Makes defensive copies of the lists. */
   public HostSettings {
     seeds = List.copyOf(seeds);
     callerKeys = List.copyOf(callerKeys);
--- a/org.fawndrum/src/org/fawndrum/settings/LimitSettings.java
+++ b/org.fawndrum/src/org/fawndrum/settings/LimitSettings.java
@@ -2,14 +2,14 @@
 package org.fawndrum.settings;
 
 /**
- * Limits of one daemon, whatever the table says.
+ * Limits of one daemon, which apply regardless of the table.
  *
- * @param bodyBytes the largest body of a caller
- * @param headerBytes the largest headers of a caller
- * @param promptTokens the longest prompt
- * @param incompleteMs how long half a request may be silent, in milliseconds
- * @param endpointSilenceMs how long an endpoint may be silent during an answer, in milliseconds
- * @param ringEvents the capacity of the decisions' ring, a power of two
+ * @param bodyBytes maximum size of a request's body, in bytes
+ * @param headerBytes maximum size of a request's headers, in bytes
+ * @param promptTokens maximum length of a prompt, in tokens
+ * @param incompleteMs timeout for more data of an incomplete request, in milliseconds
+ * @param endpointSilenceMs timeout for more data of an endpoint's answer, in milliseconds
+ * @param ringEvents capacity of the decision thread's ring buffer, in events; a power of two
  */
 public record LimitSettings(
     long bodyBytes,
--- a/org.fawndrum/src/org/fawndrum/settings/ListenSettings.java
+++ b/org.fawndrum/src/org/fawndrum/settings/ListenSettings.java
@@ -5,9 +5,9 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * Where a daemon listens for one kind of caller.
+ * Listen address of a daemon for one kind of client.
  *
- * @param address the IP number and port
- * @param tls the certificate to show, if connections are to be encrypted
+ * @param address the IP address and port
+ * @param tls the certificate to present; empty for unencrypted connections
  */
 public record ListenSettings(HostAddress address, Optional<TlsSettings> tls) {}
--- a/org.fawndrum/src/org/fawndrum/settings/ReadSettings.java
+++ b/org.fawndrum/src/org/fawndrum/settings/ReadSettings.java
@@ -12,36 +12,36 @@
 import org.fawndrum.state.CallerGroup;
 import org.fawndrum.state.HostAddress;
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 public final class ReadSettings {
   private static final String NAME = "[A-Za-z0-9][A-Za-z0-9.-]{0,62}";
   private static final String NAME_REMEDY = "write a name of letters, digits, dots and hyphens";
-  private static final int LARGEST_PORT = 65_535;
-  private static final int SHORTEST_KEY = 8;
+  private static final int MAX_PORT = 65_535;
+  private static final int MIN_KEY_LENGTH = 8;
   private static final int MEGABYTE = 1 << 20;
 
   private final Path file;
   private final List<SettingsFault> faults = new ArrayList<>();
 
-  /** Prepares the reading of one file. */
+  /** Creates a reader of the given file. */
   public ReadSettings(Path file) {
     this.file = file;
   }
 
   /**
-   * Returns the settings.
+   * Returns the validated settings.
    *
-   * @throws BadSettingsException if anything is wrong; names everything at once
+   * @throws BadSettingsException if the settings are invalid; lists all errors
    */
   public HostSettings call() {
-    HostSettings settings = check(new SettingsNode("", SettingsFile.tree(file), faults));
+    HostSettings settings = parse(new SettingsNode("", SettingsFile.tree(file), faults));
     if (!faults.isEmpty()) {
       throw new BadSettingsException(file.toString(), faults);
     }
     return settings;
   }
 
-  private HostSettings check(SettingsNode root) {
+  private HostSettings parse(SettingsNode root) {
     HostSettings settings =
         new HostSettings(
             root.text("host", NAME, NAME_REMEDY),
@@ -62,18 +62,17 @@
   }
 
   private void checkAddresses(SettingsNode root, HostSettings settings) {
-    Set<HostAddress> used = new HashSet<>();
+    Set<HostAddress> usedAddresses = new HashSet<>();
     for (ListenSettings listen :
         List.of(settings.callers(), settings.operators(), settings.peers())) {
-      if (!used.add(listen.address()) && listen.address().port() != 0) {
+      if (!usedAddresses.add(listen.address()) && listen.address().port() != 0) {
         root.fault("callers, operators, peers", listen.address(), "give each its own address");
       }
     }
   }
 
   private ListenSettings listen(SettingsNode node) {
-    HostAddress address =
-        new HostAddress(node.ip("ip"), (int) node.number("port", 0, LARGEST_PORT));
+    HostAddress address = new HostAddress(node.ip("ip"), (int) node.number("port", 0, MAX_PORT));
     Optional<TlsSettings> tls =
         node.has("tls") ? Optional.of(tls(node.object("tls"))) : Optional.empty();
     node.finish();
@@ -83,14 +82,14 @@
   private TlsSettings tls(SettingsNode node) {
     TlsSettings tls =
         new TlsSettings(
-            readable(node, "certificate"),
-            readable(node, "key"),
-            node.has("trusted") ? readable(node, "trusted") : "");
+            readableFile(node, "certificate"),
+            readableFile(node, "key"),
+            node.has("trusted") ? readableFile(node, "trusted") : "");
     node.finish();
     return tls;
   }
 
-  private String readable(SettingsNode node, String key) {
+  private String readableFile(SettingsNode node, String key) {
     String name = node.text(key, ".+", "name a PEM file");
     if (!name.isEmpty() && !Files.isReadable(Path.of(name))) {
       node.fault(key, name, "name a PEM file that can be read");
@@ -99,24 +98,23 @@
   }
 
   private HostAddress address(SettingsNode node) {
-    HostAddress address =
-        new HostAddress(node.ip("ip"), (int) node.number("port", 1, LARGEST_PORT));
+    HostAddress address = new HostAddress(node.ip("ip"), (int) node.number("port", 1, MAX_PORT));
     node.finish();
     return address;
   }
 
   private List<CallerKey> callerKeys(SettingsNode root) {
     List<CallerKey> keys = new ArrayList<>();
-    Set<String> seen = new HashSet<>();
+    Set<String> usedKeys = new HashSet<>();
     for (SettingsNode node : root.objects("callerKeys")) {
-      String key = node.secret("key", SHORTEST_KEY);
+      String key = node.secret("key", MIN_KEY_LENGTH);
       String text = node.text("group", ".+", "write workspace/class");
       CallerGroup group = CallerGroup.parse(text);
       if (group == null) {
         node.fault("group", text, "write workspace/class");
         group = new CallerGroup("-", "-");
       }
-      if (!seen.add(key)) {
+      if (!usedKeys.add(key)) {
         node.fault("key", "(not shown)", "give each group its own key");
       }
       node.finish();
@@ -130,7 +128,7 @@
     for (SettingsNode node : root.objects("operatorKeys")) {
       keys.add(
           new OperatorKey(
-              node.secret("key", SHORTEST_KEY),
+              node.secret("key", MIN_KEY_LENGTH),
               node.text("operator", NAME, NAME_REMEDY),
               node.flag("mayChange", false)));
       node.finish();
--- a/org.fawndrum/src/org/fawndrum/settings/SettingsFault.java
+++ b/org.fawndrum/src/org/fawndrum/settings/SettingsFault.java
@@ -2,11 +2,11 @@
 package org.fawndrum.settings;
 
 /**
- * One thing wrong with a settings file.
+ * An error in a settings file.
  *
- * @param key the key's path, such as {@code callers.port}
- * @param value what stands there, in short; secrets are not shown
- * @param remedy what to write instead
+ * @param key path of the key, such as {@code callers.port}
+ * @param value the invalid value, abbreviated; secrets are omitted
+ * @param remedy how to correct it
  */
 public record SettingsFault(String key, String value, String remedy) {
   @Override
--- a/org.fawndrum/src/org/fawndrum/settings/SettingsFile.java
+++ b/org.fawndrum/src/org/fawndrum/settings/SettingsFile.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.fawndrum.errors.BadSettingsException;
 
-/** Parses settings files: JSON in which comments and trailing commas are allowed. */
+/** Parses settings files: JSON that may contain comments and trailing commas. */
 public final class SettingsFile {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -25,9 +25,9 @@
   private SettingsFile() {}
 
   /**
-   * Returns the content of a file.
+   * Parses a file.
    *
-   * @throws BadSettingsException if it cannot be read or is not of this form
+   * @throws BadSettingsException if the file cannot be read or parsed
    */
   public static JsonNode tree(Path file) {
     try {
@@ -35,19 +35,20 @@
     } catch (JsonProcessingException e) {
       String line = e.getLocation() == null ? "?" : "" + e.getLocation().getLineNr();
       String remedy = "write JSON; // comments are allowed";
-      throw single(file, "line " + line, e.getOriginalMessage(), remedy);
+      throw exception(file, "line " + line, e.getOriginalMessage(), remedy);
     } catch (IOException e) {
       String name = e.getClass().getSimpleName();
-      throw single(file, "(file)", name, "name a file that can be read");
+      throw exception(file, "(file)", name, "name a file that can be read");
     }
   }
 
-  /** Returns an object without content. */
+  /** Returns an empty object. */
   static JsonNode empty() {
     return MAPPER.createObjectNode();
   }
 
-  private static BadSettingsException single(Path file, String key, String value, String remedy) {
+  private static BadSettingsException exception(
+      Path file, String key, String value, String remedy) {
     return new BadSettingsException(
         file.toString(), List.of(new SettingsFault(key, value, remedy)));
   }
--- a/org.fawndrum/src/org/fawndrum/settings/SettingsNode.java
+++ b/org.fawndrum/src/org/fawndrum/settings/SettingsNode.java
@@ -12,25 +12,25 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * An object of a settings file while it is checked. Each read notes the key as known and adds a
- * fault where the value does not fit; {@link #finish} adds one for each key that nobody read.
+ * An object of a settings file during validation. Each accessor records the key as known and adds a
+ * fault if the value is invalid; {@link #finish} adds a fault for each key that was not read.
  */
 public final class SettingsNode {
-  private static final int SHOWN_CHARS = 60;
+  private static final int MAX_SHOWN_CHARS = 60;
   private static final Pattern IP =
       Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}|[0-9a-fA-F:]*:[0-9a-fA-F:.]*");
 
   private final String path;
   private final JsonNode node;
   private final List<SettingsFault> faults;
-  private final Set<String> known = new HashSet<>();
+  private final Set<String> knownKeys = new HashSet<>();
 
   /**
-   * Wraps an object.
+   * Creates a node.
    *
-   * @param path the path of keys to it, empty for the whole file
-   * @param node the object; anything else is a fault
-   * @param faults where faults are added
+   * @param path path of the object's key; empty for the root
+   * @param node the object; adds a fault if it is not an object
+   * @param faults list that faults are added to
    */
   public SettingsNode(String path, JsonNode node, List<SettingsFault> faults) {
     this.path = path;
@@ -45,86 +45,87 @@
     return path.isEmpty() ? key : key.isEmpty() ? path : path + "." + key;
   }
 
-  /** Adds a fault about a key of this object. */
+  /** Adds a fault for a key of this object. */
   public void fault(String key, Object value, String remedy) {
     String text = String.valueOf(value);
-    String shown = text.length() > SHOWN_CHARS ? text.substring(0, SHOWN_CHARS) + "..." : text;
-    faults.add(new SettingsFault(keyPath(key), shown, remedy));
+    String abbreviated =
+        text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
+    faults.add(new SettingsFault(keyPath(key), abbreviated, remedy));
   }
 
   private JsonNode value(String key) {
-    known.add(key);
+    knownKeys.add(key);
     JsonNode value = node.get(key);
     return value == null ? MissingNode.getInstance() : value;
   }
 
-  /** Tells whether a key is present. */
+  /** Whether a key is present. */
   public boolean has(String key) {
     return !value(key).isMissingNode();
   }
 
-  /** Returns a text that must be present and match a pattern. */
+  /** Returns a required text that must match a pattern; empty if it is invalid. */
   public String text(String key, String pattern, String remedy) {
     JsonNode value = value(key);
     if (!value.isTextual() || !value.textValue().matches(pattern)) {
-      fault(key, shown(value), remedy);
+      fault(key, display(value), remedy);
       return "";
     }
     return value.textValue();
   }
 
-  /** Returns a text that must be present; its value is never shown. */
-  public String secret(String key, int shortest) {
+  /** Returns a required text whose value never appears in messages; empty if it is invalid. */
+  public String secret(String key, int minLength) {
     JsonNode value = value(key);
-    if (!value.isTextual() || value.textValue().length() < shortest) {
-      fault(key, "(not shown)", "write a text of at least " + shortest + " characters");
+    if (!value.isTextual() || value.textValue().length() < minLength) {
+      fault(key, "(not shown)", "write a text of at least " + minLength + " characters");
       return "";
     }
     return value.textValue();
   }
 
-  /** Returns a text or a default. */
-  public String text(String key, String pattern, String remedy, String otherwise) {
-    return has(key) ? text(key, pattern, remedy) : otherwise;
+  /** Returns an optional text that must match a pattern. */
+  public String text(String key, String pattern, String remedy, String defaultValue) {
+    return has(key) ? text(key, pattern, remedy) : defaultValue;
   }
 
-  /** Returns an IP number in text form. */
+  /** Returns a required IP address in text form; {@code 0.0.0.0} if it is invalid. */
   public String ip(String key) {
     JsonNode value = value(key);
     if (!value.isTextual() || !IP.matcher(value.textValue()).matches()) {
-      fault(key, shown(value), "write an IP number such as 127.0.0.1, not a name");
+      fault(key, display(value), "write an IP address such as 127.0.0.1, not a host name");
       return "0.0.0.0";
     }
     return value.textValue();
   }
 
-  /** Returns a whole number that must be present. */
+  /** Returns a required whole number; {@code min} if it is invalid. */
   public long number(String key, long min, long max) {
     JsonNode value = value(key);
     boolean fits = value.isIntegralNumber() && value.canConvertToLong();
     if (!fits || value.longValue() < min || value.longValue() > max) {
-      fault(key, shown(value), "write a whole number from " + min + " to " + max);
+      fault(key, display(value), "write a whole number from " + min + " to " + max);
       return min;
     }
     return value.longValue();
   }
 
-  /** Returns a whole number or a default. */
-  public long number(String key, long min, long max, long otherwise) {
-    return has(key) ? number(key, min, max) : otherwise;
+  /** Returns an optional whole number. */
+  public long number(String key, long min, long max, long defaultValue) {
+    return has(key) ? number(key, min, max) : defaultValue;
   }
 
-  /** Returns a number, whole or not, that must be present. */
+  /** Returns a required number, which may have a fraction; {@code min} if it is invalid. */
   public double fraction(String key, double min, double max) {
     JsonNode value = value(key);
     if (!value.isNumber() || value.doubleValue() < min || value.doubleValue() > max) {
-      fault(key, shown(value), "write a number from " + min + " to " + max);
+      fault(key, display(value), "write a number from " + min + " to " + max);
       return min;
     }
     return value.doubleValue();
   }
 
-  /** Returns an address in the form IP:PORT that must be present. */
+  /** Returns a required address in the form IP:PORT; {@code 0.0.0.0:0} if it is invalid. */
   public HostAddress address(String key) {
     return address(key, value(key));
   }
@@ -132,7 +133,7 @@
   private HostAddress address(String key, JsonNode value) {
     HostAddress address = value.isTextual() ? HostAddress.parse(value.textValue()) : null;
     if (address == null || !IP.matcher(address.ip()).matches()) {
-      fault(key, shown(value), "write an IP number and a port such as 127.0.0.1:7400");
+      fault(key, display(value), "write an IP address and a port such as 127.0.0.1:7400");
       return new HostAddress("0.0.0.0", 0);
     }
     return address;
@@ -142,38 +143,38 @@
   public List<HostAddress> addresses(String key) {
     List<HostAddress> addresses = new ArrayList<>();
     if (has(key)) {
-      value(key).forEach(one -> addresses.add(address(key, one)));
+      value(key).forEach(element -> addresses.add(address(key, element)));
     }
     return addresses;
   }
 
-  /** Returns texts that match a pattern; none when the key is missing. */
+  /** Returns a list of texts that must match a pattern; an absent list is empty. */
   public List<String> texts(String key, String pattern, String remedy) {
     List<String> texts = new ArrayList<>();
     if (has(key)) {
-      for (JsonNode one : value(key)) {
-        if (!one.asText().matches(pattern)) {
-          fault(key, shown(one), remedy);
+      for (JsonNode element : value(key)) {
+        if (!element.asText().matches(pattern)) {
+          fault(key, display(element), remedy);
         }
-        texts.add(one.asText());
+        texts.add(element.asText());
       }
     }
     return texts;
   }
 
-  /** Returns true or false, or a default. */
-  public boolean flag(String key, boolean otherwise) {
+  /** Returns an optional boolean. */
+  public boolean flag(String key, boolean defaultValue) {
     if (!has(key)) {
-      return otherwise;
+      return defaultValue;
     }
     JsonNode value = value(key);
     if (!value.isBoolean()) {
-      fault(key, shown(value), "write true or false");
+      fault(key, display(value), "write true or false");
     }
-    return value.asBoolean(otherwise);
+    return value.asBoolean(defaultValue);
   }
 
-  /** Returns an object that must be present. */
+  /** Returns a required object. */
   public SettingsNode object(String key) {
     return new SettingsNode(keyPath(key), value(key), faults);
   }
@@ -186,7 +187,7 @@
     }
     JsonNode list = value(key);
     if (!list.isArray()) {
-      fault(key, shown(list), "write a list in brackets");
+      fault(key, display(list), "write a list in brackets");
       return objects;
     }
     for (int i = 0; i < list.size(); i++) {
@@ -200,17 +201,17 @@
     Iterator<String> names = node.fieldNames();
     while (names.hasNext()) {
       String name = names.next();
-      if (!known.contains(name)) {
-        fault(name, "(unknown key)", "remove it, or write one of " + sortedKnown());
+      if (!knownKeys.contains(name)) {
+        fault(name, "(unknown key)", "remove it, or write one of " + sortedKnownKeys());
       }
     }
   }
 
-  private String sortedKnown() {
-    return String.join(", ", known.stream().sorted().toList());
+  private String sortedKnownKeys() {
+    return String.join(", ", knownKeys.stream().sorted().toList());
   }
 
-  private static String shown(JsonNode value) {
+  private static String display(JsonNode value) {
     return value.isMissingNode() ? "(missing)" : value.toString();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/settings/TlsSettings.java
+++ b/org.fawndrum/src/org/fawndrum/settings/TlsSettings.java
@@ -2,10 +2,10 @@
 package org.fawndrum.settings;
 
 /**
- * Files for encrypted connections, in PEM form.
+ * Paths of the PEM files for encrypted connections.
  *
- * @param certificate the certificate with its chain
- * @param key its private key
- * @param trusted certificates of the authorities trusted for the other side; empty for none
+ * @param certificate the certificate chain
+ * @param key the private key
+ * @param trusted certificates of the trusted authorities for peer certificates; empty for none
  */
 public record TlsSettings(String certificate, String key, String trusted) {}
--- a/org.fawndrum/src/org/fawndrum/state/CallerGroup.java
+++ b/org.fawndrum/src/org/fawndrum/state/CallerGroup.java
@@ -2,7 +2,7 @@
 package org.fawndrum.state;
 
 /**
- * A row of the table: the callers of one workspace that share one class of service.
+ * Key of a table row: the callers of one workspace that share one class of service.
  *
  * @param workspace the workspace, non-empty
  * @param className the class within the workspace, non-empty
@@ -10,7 +10,7 @@
 public record CallerGroup(String workspace, String className) implements Comparable<CallerGroup> {
   private static final char SEPARATOR = '/';
 
-  /** Parses {@code workspace/class}; returns null when the text has another form. */
+  /** Parses {@code workspace/class}; returns null if the text is malformed. */
   public static CallerGroup parse(String text) {
     int at = text.indexOf(SEPARATOR);
     if (at <= 0 || at == text.length() - 1 || text.indexOf(SEPARATOR, at + 1) >= 0) {
--- a/org.fawndrum/src/org/fawndrum/state/CallerLimits.java
+++ b/org.fawndrum/src/org/fawndrum/state/CallerLimits.java
@@ -2,11 +2,11 @@
 package org.fawndrum.state;
 
 /**
- * What callers may send, and how long they may take or rest.
+ * Size and time limits for the requests and connections of callers.
  *
- * @param headerBytes the most bytes of a request's headers
- * @param bodyBytes the most bytes of a body
- * @param headerMs the time for a request to arrive, in milliseconds
- * @param idleMs how long a connection may rest between requests, in milliseconds
+ * @param headerBytes maximum size of a request's headers, in bytes
+ * @param bodyBytes maximum size of a request's body, in bytes
+ * @param headerMs maximum time for a request to arrive, in milliseconds
+ * @param idleMs maximum idle time of a connection between requests, in milliseconds
  */
 public record CallerLimits(long headerBytes, long bodyBytes, long headerMs, long idleMs) {}
--- a/org.fawndrum/src/org/fawndrum/state/Cell.java
+++ b/org.fawndrum/src/org/fawndrum/state/Cell.java
@@ -2,10 +2,10 @@
 package org.fawndrum.state;
 
 /**
- * A published value and where it came from.
+ * A published cell value and the publication that set it.
  *
- * @param value the value; null when the cell was cleared, so that the clearing keeps its offset
+ * @param value the value; null if the cell was cleared, which keeps the offset of the clearing
  * @param offset the log offset of the publication that set it
- * @param operator who published it
+ * @param operator the operator who published it
  */
 public record Cell(String value, long offset, String operator) {}
--- a/org.fawndrum/src/org/fawndrum/state/CellChange.java
+++ b/org.fawndrum/src/org/fawndrum/state/CellChange.java
@@ -2,9 +2,9 @@
 package org.fawndrum.state;
 
 /**
- * One cell as a publication wants it.
+ * A change of one cell in a publication.
  *
  * @param key the cell
- * @param value the new value; null clears the cell back to its column's default
+ * @param value the new value; null clears the cell, which resets it to its column's default
  */
 public record CellChange(CellKey key, String value) {}
--- a/org.fawndrum/src/org/fawndrum/state/CellKey.java
+++ b/org.fawndrum/src/org/fawndrum/state/CellKey.java
@@ -2,7 +2,7 @@
 package org.fawndrum.state;
 
 /**
- * The place of a cell in the table.
+ * Identifies a cell of the table.
  *
  * @param group the row
  * @param column the column
--- a/org.fawndrum/src/org/fawndrum/state/CellRule.java
+++ b/org.fawndrum/src/org/fawndrum/state/CellRule.java
@@ -3,15 +3,15 @@
 
 import java.util.regex.Pattern;
 
-/** What a cell may hold. Implementations are immutable and safe for all threads. */
+/** Validation rule for cell values. Implementations are immutable and thread-safe. */
 public interface CellRule {
-  /** The longest value that any cell may hold, in characters. */
+  /** Maximum length of a cell value, in characters. */
   int MAX_LENGTH = 4096;
 
-  /** Tells whether a value may stand in a cell. */
+  /** Whether a value is valid. */
   boolean allows(String value);
 
-  /** Describes the allowed values for an operator, such as {@code a whole number from 1 to 9}. */
+  /** Describes the valid values for operators, such as {@code a whole number from 1 to 9}. */
   String allowed();
 
   /** Returns a rule for whole numbers from {@code min} to {@code max}, both included. */
@@ -24,7 +24,7 @@
     return new Matching("[\\w.:*-]+( [\\w.:*-]+)*", "names separated by single spaces, or *");
   }
 
-  /** Returns a rule for plain-service routes. */
+  /** Returns a rule for routes to plain services, {@code /prefix=service}. */
   static CellRule routes() {
     String route = "/[\\w./-]*=[\\w.-]+";
     return new Matching(
@@ -36,7 +36,7 @@
     return new Matching("yes|no", "yes or no");
   }
 
-  /** Whole numbers between two bounds. */
+  /** Accepts whole numbers between two inclusive bounds. */
   record WholeNumber(long min, long max) implements CellRule {
     @Override
     public boolean allows(String value) {
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Values that match a pattern. */
+  /** Accepts values that match a pattern and are not longer than {@link #MAX_LENGTH}. */
   record Matching(Pattern pattern, String allowed) implements CellRule {
     Matching(String pattern, String allowed) {
       this(Pattern.compile(pattern), allowed);
--- a/org.fawndrum/src/org/fawndrum/state/Column.java
+++ b/org.fawndrum/src/org/fawndrum/state/Column.java
@@ -3,29 +3,29 @@
 
 import java.util.Locale;
 
-/** A column of the table: one concern, with the values that its cells may hold. */
+/** A column of the table: one setting of a caller group, with the rule for its values. */
 public enum Column {
-  /** Weight of the group when the fleet is short; work is shared in this proportion. */
+  /** Weight of the group; when capacity is short, it is shared in proportion to the weights. */
   SHARE(CellRule.wholeNumber(1, 1_000_000), "1"),
-  /** Requests admitted a second over all hosts; 0 means no limit. */
+  /** Maximum rate of admitted requests over all hosts, per second; 0 means no limit. */
   REQUESTS_PER_SECOND(CellRule.wholeNumber(0, 1_000_000), "0"),
-  /** Prompt and answer tokens admitted a second over all hosts; 0 means no limit. */
+  /** Maximum rate of admitted prompt and answer tokens over all hosts, per second; 0: no limit. */
   TOKENS_PER_SECOND(CellRule.wholeNumber(0, 1_000_000_000), "0"),
-  /** Requests in flight over all hosts; 0 means no limit. */
+  /** Maximum number of requests in flight over all hosts; 0 means no limit. */
   IN_FLIGHT(CellRule.wholeNumber(0, 1_000_000), "0"),
-  /** Requests that may wait on one host. */
+  /** Maximum number of requests that wait on one host. */
   QUEUE_LENGTH(CellRule.wholeNumber(0, 100_000), "256"),
-  /** Time for a whole request in milliseconds, at most a day. */
+  /** Maximum duration of a request in milliseconds, up to one day. */
   DEADLINE_MS(CellRule.wholeNumber(1, 86_400_000), "600000"),
   /** Priority of short prompts, 0 (lowest) to 9. */
   PRIORITY_SHORT(CellRule.wholeNumber(0, 9), "7"),
   /** Priority of long prompts, 0 (lowest) to 9. */
   PRIORITY_LONG(CellRule.wholeNumber(0, 9), "3"),
-  /** Models that the group may use, separated by spaces; * means all. */
+  /** Models that the group may use, separated by spaces; {@code *} means all. */
   MODELS(CellRule.words(), "*"),
   /** Routes to plain services: {@code /prefix=service} separated by spaces. */
   ROUTES(CellRule.routes(), ""),
-  /** Whether plain calls of the group may be sent again after an unknown outcome. */
+  /** Whether plain calls of the group may be retried after an unknown outcome. */
   REPEATABLE(CellRule.yesOrNo(), "no");
 
   private final CellRule rule;
@@ -41,7 +41,7 @@
     return rule;
   }
 
-  /** Returns the value of a cell that nobody has published. */
+  /** Returns the value of a cell that was never published or was cleared. */
   public String defaultValue() {
     return defaultValue;
   }
--- a/org.fawndrum/src/org/fawndrum/state/Endpoint.java
+++ b/org.fawndrum/src/org/fawndrum/state/Endpoint.java
@@ -5,15 +5,15 @@
 import java.util.Set;
 
 /**
- * A back end as the platform's host list describes it.
+ * A back end as the platform's host list describes it. Immutable.
  *
  * @param identity its name and incarnation
  * @param zone its availability zone
  * @param kind model engine or plain service
- * @param address where it listens
+ * @param address its listen address
  * @param serves the models or the plain services that it serves
  * @param memoryTokens cache memory of a model engine in tokens; 0 for a plain service
- * @param engine how fast the engine works, where its operator says so
+ * @param engine performance profile of a model engine; empty if not configured
  */
 public record Endpoint(
     HostIdentity identity,
@@ -23,15 +23,15 @@
     Set<String> serves,
     long memoryTokens,
     Optional<EngineProfile> engine) {
-  /** The incarnation of an endpoint that does not tell when it started. */
+  /** Incarnation of an endpoint that does not report its start time. */
   public static final long START_NOT_TOLD = 0;
 
-  /** Copies the served names, so that the endpoint cannot change. */
+  /** Makes a defensive copy of the served names. */
   public Endpoint {
     serves = Set.copyOf(serves);
   }
 
-  /** Makes an endpoint whose speed nobody told. */
+  /** Creates an endpoint without a performance profile. */
   public Endpoint(
       HostIdentity identity,
       String zone,
@@ -42,7 +42,7 @@
     this(identity, zone, kind, address, serves, memoryTokens, Optional.empty());
   }
 
-  /** Returns the endpoint's name, the same over its incarnations. */
+  /** Returns the endpoint's name, which is the same for all its incarnations. */
   public String name() {
     return identity.host();
   }
@@ -52,13 +52,13 @@
     return identity.incarnation();
   }
 
-  /** Returns this endpoint with what the profile of its service says. */
+  /** Returns this endpoint with the kind, memory and performance of its service's profile. */
   public Endpoint describedBy(ServiceProfile profile) {
     long memory = profile.engine().map(EngineProfile::memoryTokens).orElse(0L);
     return new Endpoint(identity, zone, profile.kind(), address, serves, memory, profile.engine());
   }
 
-  /** Returns this endpoint as another of its incarnations. */
+  /** Returns this endpoint with the given incarnation. */
   public Endpoint at(long incarnation) {
     if (incarnation == incarnation()) {
       return this;
--- a/org.fawndrum/src/org/fawndrum/state/EngineProfile.java
+++ b/org.fawndrum/src/org/fawndrum/state/EngineProfile.java
@@ -2,18 +2,22 @@
 package org.fawndrum.state;
 
 /**
- * How fast the model engines of a service read and write, by their operator's figures.
+ * Performance figures of a service's model engines, as configured by the operators. Prefill is the
+ * processing of a prompt, decoding the generation of an answer.
  *
- * @param slots streams that one engine works on at the same time
+ * @param slots number of streams that one engine runs concurrently
  * @param memoryTokens cache memory of one engine, in tokens
- * @param stepsPerPass token steps that an engine takes in one pass while anything writes
- * @param stepMs time of one token step, in milliseconds
- * @param stepMsPerStream what each writing stream adds to a step, in milliseconds
- * @param stepMsPerThousandTokens what 1,000 tokens of a writing stream's context add to a step
- * @param readTokensPerMs prompt tokens read in a millisecond
- * @param readMsPerMillionPairs reading time for a million pairs of a token and an earlier one
- * @param chunkTokens the most prompt tokens read in one step
- * @param hopMs what one more engine adds to a step of a prompt on several engines, in milliseconds
+ * @param stepsPerPass token steps in one iteration of the batch loop while any stream decodes
+ * @param stepMs duration of one token step, in milliseconds
+ * @param stepMsPerStream time that each decoding stream adds to a step, in milliseconds
+ * @param stepMsPerThousandTokens time that 1,000 tokens of a decoding stream's context add to a
+ *     step, in milliseconds
+ * @param readTokensPerMs prefill throughput, in prompt tokens per millisecond
+ * @param readMsPerMillionPairs prefill time for a million pairs of a token and an earlier one, in
+ *     milliseconds
+ * @param chunkTokens maximum number of prompt tokens prefilled in one step
+ * @param hopMs time that each further engine adds to a step of a prompt on several engines, in
+ *     milliseconds
  */
 public record EngineProfile(
     int slots,
@@ -26,24 +30,24 @@
     double readMsPerMillionPairs,
     int chunkTokens,
     double hopMs) {
-  private static final double PAIRS_PER_MILLION = 1e6;
-  private static final double THOUSAND = 1000.0;
+  private static final double ONE_MILLION = 1e6;
+  private static final double ONE_THOUSAND = 1000.0;
 
-  /** Returns the time that one engine needs to read a whole prompt, in milliseconds. */
+  /** Returns the time that one engine needs to prefill a whole prompt, in milliseconds. */
   public double readMs(long promptTokens) {
     double pairs = promptTokens / 2.0 * promptTokens;
-    return promptTokens / readTokensPerMs + pairs / PAIRS_PER_MILLION * readMsPerMillionPairs;
+    return promptTokens / readTokensPerMs + pairs / ONE_MILLION * readMsPerMillionPairs;
   }
 
   /**
-   * Returns the time of one pass in which nothing is read, in milliseconds.
+   * Returns the duration of one iteration without any prefill, in milliseconds.
    *
-   * @param streams writing streams
-   * @param contextTokens the sum of their contexts
+   * @param streams number of decoding streams
+   * @param contextTokens sum of their contexts, in tokens
    */
   public double passMs(int streams, long contextTokens) {
     double step =
-        stepMs + streams * stepMsPerStream + contextTokens / THOUSAND * stepMsPerThousandTokens;
+        stepMs + streams * stepMsPerStream + contextTokens / ONE_THOUSAND * stepMsPerThousandTokens;
     return stepsPerPass * step;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/state/EntryHost.java
+++ b/org.fawndrum/src/org/fawndrum/state/EntryHost.java
@@ -2,10 +2,10 @@
 package org.fawndrum.state;
 
 /**
- * An entry host as the platform's list describes it.
+ * A host that runs a daemon, as the platform's host list describes it.
  *
  * @param name the host's name
  * @param zone its availability zone
- * @param peerAddress where its daemon listens for peers
+ * @param peerAddress listen address of its daemon for peers
  */
 public record EntryHost(String name, String zone, HostAddress peerAddress) {}
--- a/org.fawndrum/src/org/fawndrum/state/HostAddress.java
+++ b/org.fawndrum/src/org/fawndrum/state/HostAddress.java
@@ -2,15 +2,15 @@
 package org.fawndrum.state;
 
 /**
- * Where a process listens.
+ * IP address and port on which a process listens.
  *
- * @param ip the IP number in text form
+ * @param ip the IP address in text form
  * @param port the TCP port
  */
 public record HostAddress(String ip, int port) {
-  private static final int LARGEST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
-  /** Parses {@code IP:PORT}; returns null when the text has another form. */
+  /** Parses {@code IP:PORT}; returns null if the text is malformed. */
   public static HostAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
@@ -18,8 +18,8 @@
     }
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
-      boolean fits = port >= 0 && port <= LARGEST_PORT;
-      return fits ? new HostAddress(text.substring(0, colon), port) : null;
+      boolean valid = port >= 0 && port <= MAX_PORT;
+      return valid ? new HostAddress(text.substring(0, colon), port) : null;
     } catch (NumberFormatException e) {
       return null;
     }
--- a/org.fawndrum/src/org/fawndrum/state/HostIdentity.java
+++ b/org.fawndrum/src/org/fawndrum/state/HostIdentity.java
@@ -2,13 +2,14 @@
 package org.fawndrum.state;
 
 /**
- * One life of a process. Nothing survives a restart, so a restarted process is another identity.
+ * Identifies one incarnation of a process. No state survives a restart, so a restarted process has
+ * another identity.
  *
- * @param host the name of the host, unique in the system
- * @param incarnation grows with each start on the host; its start time in milliseconds
+ * @param host the host's name, unique in the system
+ * @param incarnation start time in milliseconds, which rises with each start on the host
  */
 public record HostIdentity(String host, long incarnation) {
-  /** Parses {@code host#incarnation}; returns null when the text has another form. */
+  /** Parses {@code host#incarnation}; returns null if the text is malformed. */
   public static HostIdentity parse(String text) {
     int at = text.lastIndexOf('#');
     if (at <= 0) {
--- a/org.fawndrum/src/org/fawndrum/state/HostListing.java
+++ b/org.fawndrum/src/org/fawndrum/state/HostListing.java
@@ -5,19 +5,19 @@
 import java.util.Set;
 
 /**
- * One reading of the platform's list of hosts, which lags behind reality.
+ * One version of the platform's host list, which lags behind the actual state. Immutable.
  *
- * @param version grows with each change of the list; an older version is never taken over a newer
- * @param endpoints all endpoints listed, leaving ones included
- * @param leaving the identities that are listed as leaving
- * @param entryHosts the entry hosts listed
+ * @param version rises with each change of the list; an older version never replaces a newer one
+ * @param endpoints all listed endpoints, draining ones included
+ * @param leaving the identities of the draining endpoints
+ * @param entryHosts the listed entry hosts
  */
 public record HostListing(
     long version, List<Endpoint> endpoints, Set<HostIdentity> leaving, List<EntryHost> entryHosts) {
-  /** The listing before any was read. */
+  /** Empty listing, in use until the first one is read. */
   public static final HostListing NONE = new HostListing(-1, List.of(), Set.of(), List.of());
 
-  /** Copies the collections, so that the listing cannot change. */
+  /** Makes defensive copies of the collections. */
   public HostListing {
     endpoints = List.copyOf(endpoints);
     leaving = Set.copyOf(leaving);
--- a/org.fawndrum/src/org/fawndrum/state/Publication.java
+++ b/org.fawndrum/src/org/fawndrum/state/Publication.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * An operator's wish to change cells, as it stands in the log.
+ * An operator's request to change cells, as recorded in the log. Immutable.
  *
- * @param id unique id chosen by the publisher; the same id appended twice counts once
- * @param operator who publishes
- * @param editedFrom the table revision that the operator saw while editing
+ * @param id unique id chosen by the publisher; a second record with the same id has no effect
+ * @param operator the operator who publishes
+ * @param editedFrom the table revision that the changes are based on
  * @param changes the changed cells only
  */
 public record Publication(String id, String operator, long editedFrom, List<CellChange> changes) {
-  /** Copies the changes, so that the publication cannot change. */
+  /** Makes a defensive copy of the changes. */
   public Publication {
     changes = List.copyOf(changes);
   }
--- a/org.fawndrum/src/org/fawndrum/state/PublicationOutcome.java
+++ b/org.fawndrum/src/org/fawndrum/state/PublicationOutcome.java
@@ -3,26 +3,26 @@
 
 import java.util.List;
 
-/** What replay decided about one publication. The same everywhere, for ever. */
+/** Result of replaying one publication. Every host computes the same result. */
 public sealed interface PublicationOutcome {
-  /** The log offset at which the outcome was decided. */
+  /** Log offset of the publication. */
   long offset();
 
-  /** The publication is in force from its offset on. */
+  /** The publication takes effect at its offset. */
   record Accepted(long offset) implements PublicationOutcome {}
 
-  /** A cell that it touches was changed by somebody after the revision edited from. */
+  /** A cell that it changes was changed after its base revision (optimistic locking conflict). */
   record Lost(long offset, List<Conflict> conflicts) implements PublicationOutcome {}
 
-  /** A cell has a value that its column does not allow. */
+  /** A value is not valid for its column. */
   record Invalid(long offset, List<BadCell> badCells) implements PublicationOutcome {}
 
-  /** It was edited from a revision that is newer than the log position it was appended at. */
+  /** Its base revision is not older than its own log offset, so it cannot have been read. */
   record FromTheFuture(long offset, long editedFrom) implements PublicationOutcome {}
 
-  /** One cell that somebody else changed first. */
+  /** A cell that another publication changed first, with its current value. */
   record Conflict(CellKey key, Cell current) {}
 
-  /** One value that is not allowed. */
+  /** A value that is not valid, with a description of the valid ones. */
   record BadCell(CellKey key, String value, String allowed) {}
 }
--- a/org.fawndrum/src/org/fawndrum/state/ReplayPublication.java
+++ b/org.fawndrum/src/org/fawndrum/state/ReplayPublication.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * The rule by which a publication in the log changes the table. A publication is accepted if every
- * cell is allowed and no cell that it touches changed after the revision it was edited from. The
- * rule reads nothing but the table before and the record, so all hosts decide alike without a vote.
+ * Applies one publication of the log to the table. A publication is accepted if every value is
+ * valid and none of its cells changed after its base revision. The result depends only on the
+ * previous table and the record, so all hosts reach the same decision without consensus.
  */
 public final class ReplayPublication {
   private final TableRevision before;
@@ -15,11 +15,11 @@
   private final Publication publication;
 
   /**
-   * Prepares the replay of one record.
+   * Creates the replay of one record.
    *
    * @param before the table after all earlier records
-   * @param offset the offset of the record
-   * @param publication the record
+   * @param offset the log offset of the record
+   * @param publication the publication in the record
    */
   public ReplayPublication(TableRevision before, long offset, Publication publication) {
     this.before = before;
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Returns the table after the record. A record at or before the table's position, and a
-   * publication already decided, change nothing but the position.
+   * Returns the table after the record. A record at or before the table's position has no effect; a
+   * publication that already has an outcome changes only the position.
    */
   public TableRevision call() {
     if (offset <= before.position()) {
@@ -41,9 +41,9 @@
     PublicationOutcome outcome = decide();
     TableRevision after =
         outcome instanceof PublicationOutcome.Accepted
-            ? before.with(publication, offset)
+            ? before.withChanges(publication, offset)
             : before.at(offset);
-    return after.decided(publication.id(), outcome);
+    return after.withOutcome(publication.id(), outcome);
   }
 
   private PublicationOutcome decide() {
@@ -61,16 +61,16 @@
     return new PublicationOutcome.Accepted(offset);
   }
 
-  /** Returns the changes whose values their columns do not allow. */
+  /** Returns the changes whose values are not valid for their columns. */
   public static List<PublicationOutcome.BadCell> badCells(List<CellChange> changes) {
-    List<PublicationOutcome.BadCell> bad = new ArrayList<>();
+    List<PublicationOutcome.BadCell> invalid = new ArrayList<>();
     for (CellChange change : changes) {
       CellRule rule = change.key().column().rule();
       if (change.value() != null && !rule.allows(change.value())) {
-        bad.add(new PublicationOutcome.BadCell(change.key(), change.value(), rule.allowed()));
+        invalid.add(new PublicationOutcome.BadCell(change.key(), change.value(), rule.allowed()));
       }
     }
-    return List.copyOf(bad);
+    return List.copyOf(invalid);
   }
 
   private List<PublicationOutcome.Conflict> conflicts() {
--- a/org.fawndrum/src/org/fawndrum/state/RequestAims.java
+++ b/org.fawndrum/src/org/fawndrum/state/RequestAims.java
@@ -2,23 +2,22 @@
 package org.fawndrum.state;
 
 /**
- * What the caller of a request expects, and how often it may be sent.
+ * Latency targets of a request, and the limit on its attempts. 0 means not set.
  *
- * @param firstTokenMs the time to the first token, or to the answer of a plain call, within which
- *     it is in time, in milliseconds; 0 when nothing is said
- * @param pauseMs the longest pause between events of a stream that is still in time, in
- *     milliseconds; 0 when nothing is said
- * @param mostAttempts the most endpoints that the request may be sent to; 0 when nothing is said
+ * @param firstTokenMs target for the time to the first token, or to the answer of a plain call, in
+ *     milliseconds
+ * @param pauseMs target for the longest pause between two events of a stream, in milliseconds
+ * @param mostAttempts maximum number of endpoints that the request may be sent to
  */
 public record RequestAims(long firstTokenMs, long pauseMs, int mostAttempts) {
-  /** Says nothing. */
+  /** No targets and no limit. */
   public static final RequestAims NONE = new RequestAims(0, 0, 0);
 
-  /** Returns what is still expected after a time, in milliseconds. */
-  public RequestAims after(long passedMs) {
-    boolean unchanged = firstTokenMs == 0 || passedMs <= 0;
+  /** Returns these targets with the elapsed time, in milliseconds, deducted from the first one. */
+  public RequestAims after(long elapsedMs) {
+    boolean unchanged = firstTokenMs == 0 || elapsedMs <= 0;
     return unchanged
         ? this
-        : new RequestAims(Math.max(1, firstTokenMs - passedMs), pauseMs, mostAttempts);
+        : new RequestAims(Math.max(1, firstTokenMs - elapsedMs), pauseMs, mostAttempts);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/state/Route.java
+++ b/org.fawndrum/src/org/fawndrum/state/Route.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * What an operator's route says of its requests.
+ * A route of the operators' configuration. Immutable.
  *
  * @param name the route's name, unique within one revision
- * @param host the host name that callers ask for
- * @param pathPrefix the beginning of the paths it takes; begins and ends with a slash
+ * @param host the host name in the caller's request
+ * @param pathPrefix prefix of the paths that it matches; begins and ends with a slash
  * @param kind how often its requests may run
- * @param resumable whether a broken stream may go on at another endpoint
- * @param timeoutMs the longest time for a whole request, in milliseconds
- * @param aims what callers expect of an answer
- * @param rank its urgency; 0 is the most urgent
- * @param open whether callers need no key
- * @param targets the services that share its requests, at least one
+ * @param resumable whether a broken stream may resume at another endpoint
+ * @param timeoutMs maximum duration of a request, in milliseconds
+ * @param aims latency targets and attempt limit of its requests
+ * @param rank urgency; 0 is the most urgent
+ * @param open whether requests without a key are accepted
+ * @param targets the services that its requests are distributed over, at least one
  */
 public record Route(
     String name,
@@ -29,27 +29,27 @@
     boolean open,
     List<WeightedService> targets) {
   /**
-   * A service and its share of a route's requests.
+   * A service with its weight within a route.
    *
    * @param service the service's name
-   * @param weight its share relative to the others, at least 0
+   * @param weight share of the route's requests relative to the others, at least 0
    */
   public record WeightedService(String service, int weight) {}
 
-  /** Copies the targets, so that the route cannot change. */
+  /** Makes a defensive copy of the services. */
   public Route {
     targets = List.copyOf(targets);
   }
 
-  /** Tells whether a request may be sent again after an unknown outcome. */
+  /** Whether a request may be retried after an unknown outcome. */
   public boolean repeatable() {
     return kind == RouteKind.SAFE || kind == RouteKind.STREAM && resumable;
   }
 
   /**
-   * Returns the service for a request.
+   * Selects the service for a request, in proportion to the weights.
    *
-   * @param draw evenly distributed, at least 0 and below 1
+   * @param draw uniform random number in [0, 1)
    */
   public String service(double draw) {
     double sum = targets.stream().mapToInt(WeightedService::weight).sum();
--- a/org.fawndrum/src/org/fawndrum/state/RouteKind.java
+++ b/org.fawndrum/src/org/fawndrum/state/RouteKind.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.state;
 
-/** How often the requests of a route may run. */
+/** Whether the requests of a route may be repeated. */
 public enum RouteKind {
-  /** May run any number of times. */
+  /** Idempotent requests, which may run any number of times. */
   SAFE,
-  /** May run at most once. */
+  /** Requests that may run at most once. */
   UNSAFE,
-  /** Answers with a series of events; may run at most once unless the route lets it resume. */
+  /** Requests answered by an event stream; run at most once unless the route allows resuming. */
   STREAM
 }
--- a/org.fawndrum/src/org/fawndrum/state/RouteTable.java
+++ b/org.fawndrum/src/org/fawndrum/state/RouteTable.java
@@ -11,13 +11,13 @@
 
 /**
  * One revision of the operators' configuration: routes, services, workspaces with their keys, and
- * limits. Immutable; a request is decided by one revision from beginning to end.
+ * limits. Immutable; a request uses the same revision from start to completion.
  */
 public final class RouteTable {
-  /** The longest body that is read before any configuration was, in bytes. */
-  private static final long FIRST_BODY_BYTES = 1 << 20;
+  /** Maximum size of a request body until the first configuration is read, in bytes. */
+  private static final long DEFAULT_MAX_BODY_BYTES = 1 << 20;
 
-  /** What is in force before any configuration was read. */
+  /** Empty table with default limits, in force until the first configuration is read. */
   public static final RouteTable NONE =
       new RouteTable(
           -1,
@@ -25,7 +25,7 @@
           List.of(),
           Map.of(),
           true,
-          new CallerLimits(16_384, FIRST_BODY_BYTES, 3_000, 15_000));
+          new CallerLimits(16_384, DEFAULT_MAX_BODY_BYTES, 3_000, 15_000));
 
   private final long revision;
   private final List<Route> routes;
@@ -36,11 +36,11 @@
   private final CallerLimits limits;
 
   /**
-   * Makes a revision.
+   * Creates a revision.
    *
-   * @param revision its number; a later one is greater
+   * @param revision the revision number, which rises
    * @param workspaces the workspaces by their keys
-   * @param needsKeys whether callers need keys
+   * @param needsKeys whether callers must send a key
    */
   public RouteTable(
       long revision,
@@ -68,7 +68,7 @@
     return (port < 0 ? host : host.substring(0, port)).toLowerCase(Locale.ROOT);
   }
 
-  /** Returns the number of this revision; -1 before any was read. */
+  /** Returns the number of this revision; -1 until the first one is read. */
   public long revision() {
     return revision;
   }
@@ -78,7 +78,7 @@
     return routes;
   }
 
-  /** Returns the route of a host and path: of those that fit, the one with the longest prefix. */
+  /** Returns the route for a host and path; the longest matching prefix wins. */
   public Optional<Route> route(String host, String path) {
     if (host == null) {
       return Optional.empty();
@@ -88,12 +88,12 @@
         .findFirst();
   }
 
-  /** Returns a service by name. */
+  /** Returns the service of the given name. */
   public Optional<ServiceProfile> service(String name) {
     return Optional.ofNullable(services.get(name));
   }
 
-  /** Tells whether requests carry keys. */
+  /** Whether callers must send a key. */
   public boolean needsKeys() {
     return needsKeys;
   }
--- a/org.fawndrum/src/org/fawndrum/state/Row.java
+++ b/org.fawndrum/src/org/fawndrum/state/Row.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The cells of one caller group. Immutable; a change makes a new row. */
+/** The cells of one caller group. Immutable; a change creates a new row. */
 public final class Row {
   private static final Column[] COLUMNS = Column.values();
 
-  /** A row in which nobody has published anything. */
+  /** Row without any published cell. */
   public static final Row EMPTY = new Row(new Cell[COLUMNS.length]);
 
   private final Cell[] cells;
@@ -26,19 +26,19 @@
     this.models = List.of(text(Column.MODELS).split(" "));
   }
 
-  /** Returns this row with one cell replaced. The value must be allowed by the column. */
+  /** Returns this row with one cell replaced. The value must be valid for the column. */
   public Row with(Column column, Cell cell) {
     Cell[] changed = cells.clone();
     changed[column.ordinal()] = cell;
     return new Row(changed);
   }
 
-  /** Returns the published cell, which may be a cleared one, or empty. */
+  /** Returns the published cell, which may be cleared; empty if it was never published. */
   public Optional<Cell> cell(Column column) {
     return Optional.ofNullable(cells[column.ordinal()]);
   }
 
-  /** Tells whether any cell of the row has a published value. */
+  /** Whether any cell of the row has a published value. */
   public boolean inUse() {
     for (Cell cell : cells) {
       if (cell != null && cell.value() != null) {
@@ -48,28 +48,28 @@
     return false;
   }
 
-  /** Returns the value in force, which is the column's default where none is published. */
+  /** Returns the effective value: the published one, or the column's default. */
   public String text(Column column) {
     Cell cell = cells[column.ordinal()];
     return cell == null || cell.value() == null ? column.defaultValue() : cell.value();
   }
 
-  /** Returns the value in force of a column of whole numbers; 0 for other columns. */
+  /** Returns the effective value of a column of whole numbers; 0 for other columns. */
   public long number(Column column) {
     return numbers[column.ordinal()];
   }
 
-  /** Tells whether the row allows a model. */
+  /** Whether the group may use a model. */
   public boolean allowsModel(String model) {
     return models.contains("*") || models.contains(model);
   }
 
-  /** Tells whether plain calls may be sent again. */
+  /** Whether plain calls of the group may be retried. */
   public boolean repeatable() {
     return "yes".equals(text(Column.REPEATABLE));
   }
 
-  /** Returns the plain service that serves a path: that of the longest matching prefix. */
+  /** Returns the plain service for a path; the longest matching prefix wins. */
   public Optional<String> serviceFor(String path) {
     String best = null;
     int bestLength = -1;
@@ -79,7 +79,7 @@
         continue;
       }
       String prefix = route.substring(0, equals);
-      if (prefix.length() > bestLength && underPrefix(path, prefix)) {
+      if (prefix.length() > bestLength && matchesPrefix(path, prefix)) {
         best = route.substring(equals + 1);
         bestLength = prefix.length();
       }
@@ -87,7 +87,7 @@
     return Optional.ofNullable(best);
   }
 
-  private static boolean underPrefix(String path, String prefix) {
+  private static boolean matchesPrefix(String path, String prefix) {
     if (!path.startsWith(prefix)) {
       return false;
     }
--- a/org.fawndrum/src/org/fawndrum/state/ServiceProfile.java
+++ b/org.fawndrum/src/org/fawndrum/state/ServiceProfile.java
@@ -4,14 +4,15 @@
 import java.util.Optional;
 
 /**
- * A service that routes lead to.
+ * A service that routes forward requests to.
  *
  * @param name its name
- * @param mostConnections the most connections that one of its endpoints takes from all hosts
- * @param engine how its engines work; empty for a plain service
+ * @param mostConnections maximum number of connections that one of its endpoints accepts from all
+ *     hosts together
+ * @param engine performance of its engines; empty for a plain service
  */
 public record ServiceProfile(String name, int mostConnections, Optional<EngineProfile> engine) {
-  /** Returns what its endpoints are. */
+  /** Returns the kind of its endpoints. */
   public EndpointKind kind() {
     return engine.isPresent() ? EndpointKind.MODEL : EndpointKind.PLAIN;
   }
--- a/org.fawndrum/src/org/fawndrum/state/TableParts.java
+++ b/org.fawndrum/src/org/fawndrum/state/TableParts.java
@@ -5,14 +5,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Gathers the parts of a table that was written down, such as a snapshot's. */
+/** Builds a table from stored parts, such as those of a snapshot. Not thread-safe. */
 public final class TableParts {
   private final long revision;
   private final long position;
   private final Map<CallerGroup, Row> rows = new HashMap<>();
   private Map<String, PublicationOutcome> outcomes = Map.of();
 
-  /** Begins a table of a revision at a log position. */
+  /** Creates a builder for a revision at a log position. */
   public TableParts(long revision, long position) {
     this.revision = revision;
     this.position = position;
@@ -25,15 +25,15 @@
     return this;
   }
 
-  /** Adds a whole row, which may be shared by several groups. */
+  /** Adds a row, which several groups may share. */
   public TableParts row(CallerGroup group, Row row) {
     rows.put(group, row);
     return this;
   }
 
-  /** Sets the remembered outcomes, oldest first. */
-  public TableParts outcomes(Map<String, PublicationOutcome> remembered) {
-    outcomes = new LinkedHashMap<>(remembered);
+  /** Sets the recorded outcomes, oldest first. */
+  public TableParts outcomes(Map<String, PublicationOutcome> newOutcomes) {
+    outcomes = new LinkedHashMap<>(newOutcomes);
     return this;
   }
 
--- a/org.fawndrum/src/org/fawndrum/state/TableRevision.java
+++ b/org.fawndrum/src/org/fawndrum/state/TableRevision.java
@@ -7,12 +7,11 @@
 import java.util.Optional;
 
 /**
- * The table in force after a position of the log. Immutable. Two hosts that replayed the same log
- * hold equal revisions.
+ * The table as of a log position. Immutable. Hosts that replayed the same log hold equal revisions.
  */
 public final class TableRevision {
-  /** How many decided publications are remembered by id. */
-  public static final int REMEMBERED_OUTCOMES = 1024;
+  /** Maximum number of publication outcomes that are kept. */
+  public static final int MAX_OUTCOMES = 1024;
 
   /** The table before the first record of the log. */
   public static final TableRevision EMPTY = new TableRevision(-1, -1, Map.of(), Map.of());
@@ -23,12 +22,12 @@
   private final Map<String, PublicationOutcome> outcomes;
 
   /**
-   * Makes a revision from its parts; meant for replay and snapshots.
+   * Creates a revision for replay and snapshots.
    *
-   * @param revision the offset of the last accepted publication, -1 for none
-   * @param position the offset of the last record replayed, -1 for none
-   * @param rows the rows; not copied, must not change
-   * @param outcomes the newest outcomes by publication id, oldest first; not copied
+   * @param revision offset of the last accepted publication, -1 for none
+   * @param position offset of the last replayed record, -1 for none
+   * @param rows the rows; not copied and must not change
+   * @param outcomes the latest outcomes by publication id, oldest first; not copied
    */
   TableRevision(
       long revision,
@@ -41,54 +40,54 @@
     this.outcomes = outcomes;
   }
 
-  /** Returns the offset of the last accepted publication; it only grows. */
+  /** Returns the offset of the last accepted publication, which never decreases. */
   public long revision() {
     return revision;
   }
 
-  /** Returns the offset of the last record that was replayed. */
+  /** Returns the offset of the last replayed record. */
   public long position() {
     return position;
   }
 
-  /** Returns the rows; the map cannot be changed. */
+  /** Returns an unmodifiable view of the rows. */
   public Map<CallerGroup, Row> rows() {
     return java.util.Collections.unmodifiableMap(rows);
   }
 
-  /** Returns the row of a group, empty when no cell of it is published. */
+  /** Returns the row of a group; empty if none of its cells has a published value. */
   public Optional<Row> row(CallerGroup group) {
     Row row = rows.get(group);
     return row == null || !row.inUse() ? Optional.empty() : Optional.of(row);
   }
 
-  /** Returns the outcome of a publication, while it is remembered. */
+  /** Returns the outcome of a publication; empty if unknown or no longer kept. */
   public Optional<PublicationOutcome> outcome(String publicationId) {
     return Optional.ofNullable(outcomes.get(publicationId));
   }
 
-  /** Returns the remembered outcomes by id, oldest first. */
+  /** Returns the recorded outcomes by publication id, oldest first. */
   public Map<String, PublicationOutcome> outcomes() {
     return java.util.Collections.unmodifiableMap(outcomes);
   }
 
-  /** Returns this table after a record that is not a publication. */
+  /** Returns this table with its position moved to a record that does not change it. */
   public TableRevision at(long offset) {
     return new TableRevision(revision, offset, rows, outcomes);
   }
 
-  /** Returns this table with an outcome remembered, the oldest forgotten where there are many. */
-  TableRevision decided(String id, PublicationOutcome outcome) {
+  /** Returns this table with an outcome added; evicts the oldest one at the limit. */
+  TableRevision withOutcome(String id, PublicationOutcome outcome) {
     Map<String, PublicationOutcome> kept = new LinkedHashMap<>(outcomes);
-    if (kept.size() >= REMEMBERED_OUTCOMES) {
+    if (kept.size() >= MAX_OUTCOMES) {
       kept.remove(kept.keySet().iterator().next());
     }
     kept.put(id, outcome);
     return new TableRevision(revision, outcome.offset(), rows, kept);
   }
 
-  /** Returns this table with the cells of an accepted publication in force. */
-  TableRevision with(Publication publication, long offset) {
+  /** Returns this table with the cells of an accepted publication. */
+  TableRevision withChanges(Publication publication, long offset) {
     Map<CallerGroup, Row> changed = new HashMap<>(rows);
     for (CellChange change : publication.changes()) {
       Cell cell = new Cell(change.value(), offset, publication.operator());
--- a/org.fawndrum/src/org/fawndrum/state/Workspace.java
+++ b/org.fawndrum/src/org/fawndrum/state/Workspace.java
@@ -4,12 +4,13 @@
 import java.util.OptionalInt;
 
 /**
- * A customer of the system.
+ * A customer of the system (a tenant, on the platform).
  *
  * @param name its name
- * @param rank its urgency, 0 the most urgent, which goes before that of a route; empty when not set
+ * @param rank its urgency, which overrides that of the route; 0 is the most urgent; empty if not
+ *     set
  */
 public record Workspace(String name, OptionalInt rank) {
-  /** Stands for callers without a key, on routes that need none. */
+  /** Workspace of callers without a key, on routes that accept them. */
   public static final Workspace ANYBODY = new Workspace("anybody", OptionalInt.empty());
 }
--- a/org.fawndrum/src/org/fawndrum/state/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/state/package-info.java
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: Apache-2.0
-/** Immutable data of the system and the rules by which the platform's log is replayed into it. */
+/** Immutable data model, and the replay of the platform's log into the table. */
 package org.fawndrum.state;
--- a/org.fawndrum/tst/org/fawndrum/protocol/CrashCodecTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/CrashCodecTest.java
@@ -15,15 +15,15 @@
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
-/** What hosts tell each other of requests under which endpoints end comes over as it was. */
+/** Crash updates round-trip through their messages unchanged. */
 class CrashCodecTest {
   private static final long NOW_MS = 50_000;
   private static final RequestFingerprint REQUEST = new RequestFingerprint(7, 8, 9);
   private static final HostIdentity HOST = new HostIdentity("host-1", 3);
 
   @Test
-  void allOfItComesOver() {
-    CrashNews news =
+  void updatesRoundTripUnchanged() {
+    CrashNews updates =
         new CrashNews(
             List.of(
                 new EndpointCrash(
@@ -33,6 +33,6 @@
             List.of(new SuspectTurn(REQUEST, HOST, NOW_MS - 10)),
             List.of(new SpentTurn(REQUEST, HOST, 2, NOW_MS - 5)),
             1);
-    assertEquals(news, CrashCodec.read(CrashCodec.write(news, false, NOW_MS), NOW_MS));
+    assertEquals(updates, CrashCodec.read(CrashCodec.write(updates, false, NOW_MS), NOW_MS));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/protocol/FleetCodecTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/FleetCodecTest.java
@@ -16,7 +16,7 @@
 import org.fawndrum.state.RequestAims;
 import org.junit.jupiter.api.Test;
 
-/** Reports of daemons come out as they went in, with times by the receiver's clock. */
+/** Reports round-trip through their messages, with times converted to the receiver's clock. */
 class FleetCodecTest {
   private static final HostIdentity SELF = new HostIdentity("host-1", 7);
   private static final FleetMember MEMBER =
@@ -37,11 +37,11 @@
             FleetReport.EVERYWHERE,
             true,
             List.of(new EngineNews.Placed(job(40)), new EngineNews.Read(5)));
-    FleetReport read = FleetCodec.read(FleetCodec.write(report, 100), 1_000);
-    assertEquals(Optional.of(MEMBER), read.member());
-    assertEquals(3, read.sequence());
-    assertEquals(List.of(new EngineNews.Placed(job(940)), new EngineNews.Read(5)), read.news());
-    assertTrue(read.concerns("zone-b"));
+    FleetReport decoded = FleetCodec.read(FleetCodec.write(report, 100), 1_000);
+    assertEquals(Optional.of(MEMBER), decoded.member());
+    assertEquals(3, decoded.sequence());
+    assertEquals(List.of(new EngineNews.Placed(job(940)), new EngineNews.Read(5)), decoded.news());
+    assertTrue(decoded.concerns("zone-b"));
   }
 
   @Test
@@ -54,9 +54,9 @@
             "zone-b",
             false,
             List.of(new EngineNews.Ended(5, false), new EngineNews.Ended(6, true)));
-    FleetReport read = FleetCodec.read(FleetCodec.write(report, 0), 0);
-    assertEquals(report, read);
-    assertTrue(read.concerns("zone-b"));
-    assertFalse(read.concerns("zone-a"));
+    FleetReport decoded = FleetCodec.read(FleetCodec.write(report, 0), 0);
+    assertEquals(report, decoded);
+    assertTrue(decoded.concerns("zone-b"));
+    assertFalse(decoded.concerns("zone-a"));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/protocol/LoadDigestTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/LoadDigestTest.java
@@ -10,10 +10,10 @@
 import net.jqwik.api.constraints.LongRange;
 import org.fawndrum.coordination.LoadReport;
 
-/** A digest tells loads within its steps and takes any bytes. */
+/** A digest preserves loads within its resolution, and decoding accepts any bytes. */
 class LoadDigestTest {
   @Property(tries = 1_000, seed = "91")
-  void loadSurvivesWithinItsSteps(
+  void loadRoundTripsWithinTheResolution(
       @ForAll @LongRange(max = 5_000_000) long high,
       @ForAll @LongRange(max = 5_000_000) long low,
       @ForAll @LongRange(max = 400_000) long free) {
@@ -34,7 +34,7 @@
   }
 
   @Property(tries = 1_000, seed = "92")
-  void anyBytesAreRead(@ForAll byte[] bytes) {
+  void anyBytesAreDecoded(@ForAll byte[] bytes) {
     assertEquals(bytes.length / LoadDigest.ENTRY_BYTES, LoadDigest.read(bytes).size());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/protocol/PeerCodecTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/PeerCodecTest.java
@@ -24,7 +24,7 @@
 import org.fawndrum.state.TableRevision;
 import org.junit.jupiter.api.Test;
 
-/** Whatever bytes come, a decoder gives a message or a typed failure. */
+/** For any input, the decoders return a message or throw a typed exception. */
 class PeerCodecTest {
   private static final HostIdentity SELF = new HostIdentity("a", 7);
 
@@ -33,7 +33,7 @@
   }
 
   @Property(tries = 5_000, seed = "51")
-  void anyBytesAreAMessageOrATypedFailure(@ForAll byte[] bytes) {
+  void anyBytesYieldAMessageOrATypedException(@ForAll byte[] bytes) {
     try {
       PeerCodec.read(bytes);
     } catch (BadPeerFrameException expected) {
@@ -47,7 +47,7 @@
   }
 
   @Property(tries = 5_000, seed = "52")
-  void changedMessageIsAMessageOrATypedFailure(@ForAll long seed) {
+  void corruptedMessageYieldsAMessageOrATypedException(@ForAll long seed) {
     Random random = new Random(seed);
     byte[] bytes =
         PeerCodec.from(SELF).setHeartbeat(PeerCodec.heartbeat(facts())).build().toByteArray();
@@ -61,13 +61,13 @@
   }
 
   @Property(tries = 2_000, seed = "53")
-  void changedSnapshotIsNeverTakenForTheTable(@ForAll long seed) {
+  void corruptedSnapshotNeverYieldsAnotherTable(@ForAll long seed) {
     Random random = new Random(seed);
     CellKey key = new CellKey(new CallerGroup("w", "c"), Column.SHARE);
     TableRevision table = new TableParts(3, 9).cell(key, new Cell("5", 3, "ana")).build();
     byte[] bytes = SnapshotCodec.encode(table).toByteArray();
-    int at = random.nextInt(bytes.length);
-    bytes[at] ^= (byte) (1 + random.nextInt(255));
+    int index = random.nextInt(bytes.length);
+    bytes[index] ^= (byte) (1 + random.nextInt(255));
     try {
       assertEquals(table, SnapshotCodec.decode(SnapshotRecord.parseFrom(bytes)));
     } catch (InvalidProtocolBufferException | BadSnapshotException expected) {
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void heartbeatSurvives() {
+  void heartbeatRoundTrips() {
     byte[] bytes =
         PeerCodec.from(SELF).setHeartbeat(PeerCodec.heartbeat(facts())).build().toByteArray();
     PeerMessage read = PeerCodec.read(bytes);
--- a/org.fawndrum/tst/org/fawndrum/protocol/TableCsvTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/TableCsvTest.java
@@ -19,7 +19,7 @@
 import org.fawndrum.state.TableRevision;
 import org.junit.jupiter.api.Test;
 
-/** The table out to CSV and in again changes nothing, and bad CSV is named by its place. */
+/** Export and re-import yield no changes, and errors name line and column. */
 class TableCsvTest {
   private static TableRevision randomTable(long seed) {
     Random random = new Random(seed);
@@ -40,13 +40,13 @@
   }
 
   @Property(tries = 500, seed = "61")
-  void outAndInChangesNothing(@ForAll long seed) {
+  void exportAndReimportYieldNoChanges(@ForAll long seed) {
     TableRevision table = randomTable(seed);
     assertEquals(List.of(), TableCsv.changes(TableCsv.write(table), table));
   }
 
   @Property(tries = 2_000, seed = "62")
-  void anyTextIsATableOrATypedFailure(@ForAll String text) {
+  void anyTextYieldsATableOrATypedException(@ForAll String text) {
     try {
       TableCsv.changes("group,share\n" + text, TableRevision.EMPTY);
     } catch (BadCsvException expected) {
@@ -63,13 +63,13 @@
   }
 
   @Test
-  void badValueIsNamedWithItsPlace() {
+  void invalidValueIsReportedWithLineAndColumn() {
     BadCsvException failure =
         assertThrows(
             BadCsvException.class,
             () -> TableCsv.changes("group,share\nw/c,1\nw/d,many\n", TableRevision.EMPTY));
     assertEquals(
-        "line 3, column share: value 'many' is not allowed; allowed is a whole number from 1 to"
+        "line 3, column share: invalid value 'many'; expected a whole number from 1 to"
             + " 1000000",
         failure.getMessage());
   }
--- a/org.fawndrum/tst/org/fawndrum/settings/ReadSettingsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/settings/SettingsReaderTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Settings are checked wholly, and everything wrong is named at once. */
-class ReadSettingsTest {
-  private static final String GOOD =
+/** All errors of a settings file are reported together. */
+class SettingsReaderTest {
+  private static final String VALID =
       """
       {
         // a comment
@@ -42,21 +42,22 @@
   }
 
   @Test
-  void goodSettingsWithComments() throws IOException {
-    HostSettings settings = read(GOOD);
+  void validSettingsMayContainComments() throws IOException {
+    HostSettings settings = read(VALID);
     assertEquals("a-1", settings.host());
     assertEquals(10_000, settings.limits().incompleteMs());
   }
 
   @Test
-  void everythingWrongIsNamedAtOnce() {
-    String bad =
-        GOOD.replace("\"port\": 1 }", "\"port\": 99999, \"prot\": 1 }")
+  void allErrorsAreReportedTogether() {
+    String invalid =
+        VALID
+            .replace("\"port\": 1 }", "\"port\": 99999, \"prot\": 1 }")
             .replace("\"a-1\"", "7")
             .replace("\"port\": 4", "\"port\": \"4\"")
             .replace("w/c", "w")
             .replace("\"zone\"", "\"zoone\"");
-    List<String> keys = faults(bad).stream().map(SettingsFault::key).sorted().toList();
+    List<String> keys = faults(invalid).stream().map(SettingsFault::key).sorted().toList();
     assertEquals(
         List.of(
             "callerKeys[0].group",
@@ -70,19 +71,19 @@
   }
 
   @Test
-  void keysAreNeverShown() {
-    String text = faults(GOOD.replace("12345678", "short!!")).toString();
+  void keysAreNeverPrinted() {
+    String text = faults(VALID.replace("12345678", "short!!")).toString();
     assertFalse(text.contains("short!!"), text);
     assertTrue(text.contains("callerKeys[0].key"), text);
   }
 
   @Test
-  void brokenJsonNamesItsLine() {
+  void malformedJsonIsReportedWithItsLine() {
     assertEquals("line 3", faults("{\n\"host\": \"a\",\n!").get(0).key());
   }
 
   @Test
-  void sameAddressTwiceIsNamed() {
-    assertEquals(1, faults(GOOD.replace("\"port\": 2", "\"port\": 1")).size());
+  void duplicateAddressIsReported() {
+    assertEquals(1, faults(VALID.replace("\"port\": 2", "\"port\": 1")).size());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/state/RouteTableTest.java
+++ b/org.fawndrum/tst/org/fawndrum/state/RouteTableTest.java
@@ -10,7 +10,7 @@
 import org.fawndrum.state.Route.WeightedService;
 import org.junit.jupiter.api.Test;
 
-/** Routes are found by host and longest prefix, and share their requests by weight. */
+/** Routes match by host and longest path prefix; services receive requests by weight. */
 class RouteTableTest {
   private static Route route(String name, String host, String prefix, RouteKind kind) {
     return new Route(
@@ -38,26 +38,26 @@
           true,
           new CallerLimits(1, 1, 1, 1));
 
-  private String find(String host, String path) {
+  private String matchingRoute(String host, String path) {
     return table.route(host, path).map(Route::name).orElse("none");
   }
 
   @Test
-  void longestPrefixOfTheHostWins() {
-    assertEquals("short", find("a.example", "/x/z"));
-    assertEquals("long", find("a.example", "/x/y/z"));
-    assertEquals("none", find("a.example", "/x"));
-    assertEquals("none", find("c.example", "/x/"));
-    assertEquals("none", find(null, "/x/"));
+  void longestMatchingPrefixOfTheHostWins() {
+    assertEquals("short", matchingRoute("a.example", "/x/z"));
+    assertEquals("long", matchingRoute("a.example", "/x/y/z"));
+    assertEquals("none", matchingRoute("a.example", "/x"));
+    assertEquals("none", matchingRoute("c.example", "/x/"));
+    assertEquals("none", matchingRoute(null, "/x/"));
   }
 
   @Test
-  void hostsAreComparedWithoutPortAndCase() {
-    assertEquals("other", find("B.Example:8080", "/anything"));
+  void hostComparisonIgnoresPortAndCase() {
+    assertEquals("other", matchingRoute("B.Example:8080", "/anything"));
   }
 
   @Test
-  void servicesShareByWeight() {
+  void servicesReceiveRequestsByWeight() {
     Route route = table.routes().get(0);
     assertEquals("one", route.service(0));
     assertEquals("one", route.service(0.74));
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void onlySafeRoutesAndResumableStreamsRepeat() {
+  void onlySafeRoutesAndResumableStreamsAreRepeatable() {
     assertTrue(route("r", "h", "/", RouteKind.SAFE).repeatable());
     assertFalse(route("r", "h", "/", RouteKind.UNSAFE).repeatable());
     assertFalse(route("r", "h", "/", RouteKind.STREAM).repeatable());
--- a/org.fawndrum/tst/org/fawndrum/state/TableReplayTest.java
+++ b/org.fawndrum/tst/org/fawndrum/state/TableReplayTest.java
@@ -15,7 +15,7 @@
 import org.fawndrum.protocol.SnapshotCodec;
 import org.junit.jupiter.api.Test;
 
-/** An accepted table is the same everywhere, whatever way a host came by it, and never reverts. */
+/** Every replay path yields the same table for a log position, and the revision never decreases. */
 class TableReplayTest {
   private static final CallerGroup GROUP = new CallerGroup("w", "c");
 
@@ -23,11 +23,11 @@
     return new CellChange(new CellKey(GROUP, column), value);
   }
 
-  private static Publication publication(String id, long editedFrom, CellChange... changes) {
-    return new Publication(id, "ana", editedFrom, List.of(changes));
+  private static Publication publication(String id, long baseRevision, CellChange... changes) {
+    return new Publication(id, "ana", baseRevision, List.of(changes));
   }
 
-  /** A log with publications, snapshots and other records, some sent twice, some bad. */
+  /** Generates a log of publications, snapshots and other records, some duplicate or invalid. */
   private static List<LogReplay.Entry> log(Random random) {
     List<LogReplay.Entry> log = new ArrayList<>();
     List<TableRevision> tables = new ArrayList<>(List.of(TableRevision.EMPTY));
@@ -37,13 +37,13 @@
       int chance = random.nextInt(10);
       LogReplay.Entry entry;
       if (chance < 7) {
-        long editedFrom = Math.max(-1, newest.revision() - random.nextInt(4));
+        long baseRevision = Math.max(-1, newest.revision() - random.nextInt(4));
         String id = "p" + (random.nextInt(5) == 0 ? random.nextInt(offset + 1) : offset);
         String value = random.nextInt(8) == 0 ? "bad" : Integer.toString(1 + random.nextInt(9));
         Column column = random.nextBoolean() ? Column.SHARE : Column.QUEUE_LENGTH;
         entry =
             new LogReplay.Entry.Published(
-                offset, publication(id, editedFrom, change(column, value)));
+                offset, publication(id, baseRevision, change(column, value)));
       } else if (chance < 9) {
         TableRevision old = tables.get(random.nextInt(tables.size()));
         TableRevision read = SnapshotCodec.decode(SnapshotCodec.encode(old));
@@ -64,39 +64,39 @@
   }
 
   @Property(tries = 1_000, seed = "21")
-  void everyWayToAPositionGivesTheSameTable(@ForAll long seed) {
+  void everyReplayPathToAPositionYieldsTheSameTable(@ForAll long seed) {
     Random random = new Random(seed);
     List<LogReplay.Entry> log = log(random);
-    List<TableRevision> atPosition = new ArrayList<>();
+    List<TableRevision> tablesByPosition = new ArrayList<>();
     LogReplay whole = new LogReplay();
     for (LogReplay.Entry entry : log) {
       whole.record(entry);
-      atPosition.add(whole.table());
+      tablesByPosition.add(whole.table());
     }
-    LogReplay late = new LogReplay();
+    LogReplay lateReplay = new LogReplay();
     long revision = -1;
     int first = 0;
     for (int step = 0; step < 80; step++) {
       int chance = random.nextInt(10);
-      if (chance < 6 && late.next() < log.size() && late.next() >= first) {
-        late.record(log.get((int) late.next()));
+      if (chance < 6 && lateReplay.next() < log.size() && lateReplay.next() >= first) {
+        lateReplay.record(log.get((int) lateReplay.next()));
       } else if (chance < 8) {
         first = Math.max(first, random.nextInt(log.size()));
-        late.logBegins(first);
+        lateReplay.logBegins(first);
       } else {
-        late.adopt(atPosition.get(random.nextInt(log.size())));
+        lateReplay.adopt(tablesByPosition.get(random.nextInt(log.size())));
       }
-      TableRevision table = late.table();
-      assertTrue(table.revision() >= revision, "the table went back");
+      TableRevision table = lateReplay.table();
+      assertTrue(table.revision() >= revision, "the revision decreased");
       revision = table.revision();
       if (table.position() >= 0) {
-        assertEquals(atPosition.get((int) table.position()), table);
+        assertEquals(tablesByPosition.get((int) table.position()), table);
       }
     }
   }
 
   @Test
-  void secondOfTwoRacersLosesAndIsToldToWhom() {
+  void secondOfTwoConflictingPublicationsLosesAndNamesTheWinner() {
     TableRevision start =
         new ReplayPublication(
                 TableRevision.EMPTY, 0, publication("a", -1, change(Column.SHARE, "1")))
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void racersOnDifferentCellsBothWin() {
+  void concurrentPublicationsOfDifferentCellsAreBothAccepted() {
     TableRevision first =
         new ReplayPublication(
                 TableRevision.EMPTY, 0, publication("a", -1, change(Column.SHARE, "2")))
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void publicationAppendedTwiceCountsOnce() {
+  void duplicatePublicationHasNoEffect() {
     Publication once = publication("a", -1, change(Column.SHARE, "2"));
     TableRevision first = new ReplayPublication(TableRevision.EMPTY, 0, once).call();
     TableRevision second = new ReplayPublication(first, 1, once).call();
@@ -134,20 +134,20 @@
   }
 
   @Test
-  void clearedCellStillConflictsWithAnOlderEdit() {
+  void clearedCellConflictsWithAnEditOfAnOlderRevision() {
     TableRevision set =
         new ReplayPublication(
                 TableRevision.EMPTY, 0, publication("a", -1, change(Column.SHARE, "2")))
             .call();
     TableRevision cleared =
         new ReplayPublication(set, 1, publication("b", 0, change(Column.SHARE, null))).call();
-    TableRevision late =
+    TableRevision lateReplay =
         new ReplayPublication(cleared, 2, publication("c", 0, change(Column.SHARE, "9"))).call();
-    assertInstanceOf(PublicationOutcome.Lost.class, late.outcome("c").orElseThrow());
+    assertInstanceOf(PublicationOutcome.Lost.class, lateReplay.outcome("c").orElseThrow());
   }
 
   @Test
-  void publicationSurvivesTheLog() {
+  void publicationRoundTripsThroughTheLog() {
     Publication sent =
         publication("a", 7, change(Column.MODELS, "m1 m2"), change(Column.SHARE, null));
     byte[] bytes = LogCodec.publication(sent);
