--- a/org.fawndrum/src/org/fawndrum/protocol/TableCsv.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/TableCsv.java
@@ -88,10 +88,10 @@
     }
     Column[] columns = columns(lines.get(0));
     List<CellChange> changes = new ArrayList<>();
-    Set<CallerGroup> seen = new HashSet<>();
+    Set<CallerGroup> seenGroups = new HashSet<>();
     for (int i = 1; i < lines.size(); i++) {
       String[] line = lines.get(i);
-      CallerGroup group = group(line, i + 1, seen);
+      CallerGroup group = group(line, i + 1, seenGroups);
       Row row = table.rows().getOrDefault(group, Row.EMPTY);
       for (int c = 1; c < columns.length; c++) {
         String text = c < line.length ? line[c].strip() : "";
@@ -128,12 +128,12 @@
     return columns;
   }
 
-  private static CallerGroup group(String[] line, int number, Set<CallerGroup> seen) {
+  private static CallerGroup group(String[] line, int number, Set<CallerGroup> seenGroups) {
     CallerGroup group = CallerGroup.parse(line[0].strip());
     if (group == null) {
       throw new BadCsvException(number, GROUP_HEADER, line[0], "workspace/class");
     }
-    if (!seen.add(group)) {
+    if (!seenGroups.add(group)) {
       throw new BadCsvException(number, GROUP_HEADER, line[0], "each group once");
     }
     return group;
