--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineCandidate.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineCandidate.java
@@ -5,16 +5,20 @@
 import org.fawndrum.state.EngineProfile;
 
 /**
- * An engine that may be used for a request.
+ * An engine that is eligible for a request.
  *
  * @param state the engine
- * @param outlook what it has before it
- * @param part its place in the order among equals, 0 to 1
- * @param zoneMs what it costs that it is in another zone, in milliseconds
- * @param freeTokens the cache memory that may be used, in tokens
+ * @param forecast its forecast load
+ * @param orderFraction its position in the order that breaks ties, 0 to 1
+ * @param zonePenaltyMs the penalty for being in another zone, in milliseconds
+ * @param freeTokens the cache memory available for requests, in tokens
  */
 record EngineCandidate(
-    EndpointState state, EngineOutlook outlook, double part, double zoneMs, long freeTokens) {
+    EndpointState state,
+    EngineForecast forecast,
+    double orderFraction,
+    double zonePenaltyMs,
+    long freeTokens) {
   EngineProfile profile() {
     return state.endpoint().engine().orElseThrow();
   }
@@ -23,23 +27,23 @@
     return state.endpoint().name();
   }
 
-  /** Tells whether it has a place for one more answer. */
-  boolean canWrite() {
-    return outlook.streams() < profile().slots();
+  /** Returns whether it has a slot for another decoding stream. */
+  boolean canDecode() {
+    return forecast.streams() < profile().slots();
   }
 
-  /** Tells whether it can read a part for another engine. */
+  /** Returns whether it can prefill a segment for another engine. */
   boolean canHelp() {
-    return outlook.helping() < profile().slots();
+    return forecast.helperSegments() < profile().slots();
   }
 
-  /** Returns what a part of a prompt is for it, by its present pace. */
-  EngineOutlook.Amount partOf(long promptTokens, int engines) {
-    double ms = profile().readMs(promptTokens) / engines * outlook.slowness();
-    return new EngineOutlook.Amount(ms, share(promptTokens, engines));
+  /** Returns the work of one segment of a prompt on this engine, at its current slowness. */
+  EngineForecast.PrefillWork segment(long promptTokens, int engines) {
+    double ms = profile().readMs(promptTokens) / engines * forecast.slowness();
+    return new EngineForecast.PrefillWork(ms, share(promptTokens, engines));
   }
 
-  /** Returns what each of some engines takes of so many tokens, rounded up. */
+  /** Returns the tokens for each of a number of engines, rounded up. */
   static long share(long tokens, int engines) {
     return (tokens + engines - 1) / engines;
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineJob.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineJob.java
@@ -5,15 +5,15 @@
 import org.fawndrum.state.RequestAims;
 
 /**
- * One piece of work at one endpoint.
+ * One job at one endpoint.
  *
  * @param id unique over all daemons
- * @param endpoint where it is
+ * @param endpoint the endpoint
  * @param promptTokens the length of the whole prompt
- * @param memoryTokens the cache memory that it may take there, in tokens
- * @param parts how many engines share the reading of the prompt, at least 1
- * @param writes whether the answer is written there
- * @param aims what its caller expects
+ * @param memoryTokens the maximum cache memory that it uses there, in tokens
+ * @param segments the number of engines that share the prefill of the prompt, at least 1
+ * @param decodes whether the answer is generated there
+ * @param aims the latency targets of its caller
  * @param sentMs when it was sent, in milliseconds of the host's clock
  */
 public record EngineJob(
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineLoad.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineLoad.java
@@ -6,208 +6,212 @@
 import org.fawndrum.state.EngineProfile;
 
 /**
- * The work that one endpoint has from all daemons, as far as is known, and how long it takes. Only
- * engines have times: for a plain service the work is counted, and the methods that return times
+ * The jobs that all daemons are known to have at one endpoint, and the time that they take. Only
+ * engines have times: for a plain service the jobs are counted, and the methods that return times
  * must not be called. Confined to one thread; times are those of the host's clock, in milliseconds.
  */
 public final class EngineLoad {
-  /** Weight of the newest observation in the pace. */
-  private static final double NEWEST = 0.3;
+  /** Weight of the newest observation in the moving average of the slowness. */
+  private static final double NEWEST_WEIGHT = 0.3;
 
-  /** The most by which one observation may say that the endpoint is slower than expected. */
-  private static final double SLOWEST = 20;
+  /** Maximum slowness that a single observation may contribute. */
+  private static final double MAX_SLOWNESS_RATIO = 20;
 
-  /** The time after which half of an observed slowness is forgotten, in milliseconds. */
+  /** Time after which half of an observed slowness has decayed, in milliseconds. */
   private static final double HALF_LIFE_MS = 4_000;
 
-  /** Observed times below this say nothing about the pace, in milliseconds. */
-  private static final double SHORTEST_MS = 80;
+  /** Minimum observed time, in milliseconds; shorter ones say nothing about the speed. */
+  private static final double MIN_OBSERVED_MS = 80;
 
   private final EngineProfile profile;
-  private final EnginePasses passes;
+  private final EngineIterations iterations;
   private double slowness = 1;
   private long observedMs;
 
   /**
-   * Makes the load of an endpoint that has nothing to do.
+   * Creates the load of an idle endpoint.
    *
-   * @param profile how fast it works; null for a plain service
+   * @param profile its speed; null for a plain service
    */
   public EngineLoad(EngineProfile profile) {
     this.profile = profile;
-    this.passes = new EnginePasses(profile);
+    this.iterations = new EngineIterations(profile);
   }
 
-  /** Adds work; the same work again changes nothing. */
+  /** Adds a job, unless it is already present. */
   public void add(EngineJob job, long nowMs) {
-    if (passes.entry(job.id()) == null) {
-      passes.pace(slowness(nowMs));
-      passes.add(job, nowMs);
+    if (iterations.entry(job.id()) == null) {
+      iterations.setSlowness(slowness(nowMs));
+      iterations.add(job, nowMs);
     }
   }
 
-  /** Takes note that a prompt has been read: its first token came. */
+  /** Records that a prompt is prefilled: its first token came. */
   public void read(long id, long nowMs) {
-    EngineEntry entry = passes.entry(id);
-    if (entry == null || entry.confirmed || profile == null) {
+    JobProgress entry = iterations.entry(id);
+    if (entry == null || entry.firstTokenConfirmed || profile == null) {
       return;
     }
     if (!entry.job.writes()) {
-      // The part has been read for long; its engine's pass says nothing about it.
-      entry.confirm(nowMs);
+      // The segment was prefilled long before; the time of the first token says nothing about this
+      // engine's iteration.
+      entry.confirmFirstToken(nowMs);
       return;
     }
-    passes.advance(nowMs);
+    iterations.advance(nowMs);
     observe(entry, nowMs);
-    passes.confirm(entry, nowMs);
+    iterations.confirmFirstToken(entry, nowMs);
   }
 
-  /** Holds the time that a prompt of one engine took against what the passes foresaw. */
-  private void observe(EngineEntry entry, long nowMs) {
-    double took = nowMs - entry.job.sentMs();
-    if (entry.shared() || took < SHORTEST_MS) {
+  /** Compares the time that an unshared prompt took with the forecast. */
+  private void observe(JobProgress entry, long nowMs) {
+    double tookMs = nowMs - entry.job.sentMs();
+    if (entry.shared() || tookMs < MIN_OBSERVED_MS) {
       return;
     }
-    double expected = entry.isRead() ? entry.readAtMs - entry.job.sentMs() : took;
-    double ratio = took / Math.max(SHORTEST_MS, expected);
-    slowness = slowness(nowMs) * (1 - NEWEST) + Math.min(SLOWEST, Math.max(1, ratio)) * NEWEST;
+    double expectedMs = entry.isPrefilled() ? entry.prefilledAtMs - entry.job.sentMs() : tookMs;
+    double ratio = tookMs / Math.max(MIN_OBSERVED_MS, expectedMs);
+    slowness =
+        slowness(nowMs) * (1 - NEWEST_WEIGHT)
+            + Math.min(MAX_SLOWNESS_RATIO, Math.max(1, ratio)) * NEWEST_WEIGHT;
     observedMs = nowMs;
   }
 
-  /** Returns by how much the endpoint is slower than its profile says, at least 1. */
+  /** Returns the ratio of the actual time to the time in the profile, at least 1. */
   public double slowness(long nowMs) {
-    double kept = Math.pow(0.5, Math.max(0, nowMs - observedMs) / HALF_LIFE_MS);
-    return 1 + (slowness - 1) * kept;
+    double remaining = Math.pow(0.5, Math.max(0, nowMs - observedMs) / HALF_LIFE_MS);
+    return 1 + (slowness - 1) * remaining;
   }
 
-  /** Takes note that work ended. */
+  /** Removes a job that completed or failed. */
   public void ended(long id, long nowMs) {
-    passes.remove(id, nowMs);
+    iterations.remove(id, nowMs);
   }
 
-  /** Returns how much work there is, whatever its size. */
+  /** Returns the number of jobs. */
   public int size() {
-    return passes.entries().size();
+    return iterations.entries().size();
   }
 
-  /** Returns the work whose answers are written there, read or not. */
+  /** Returns the number of jobs whose answers are generated there, prefilled or not. */
   public int streams() {
     int count = 0;
-    for (EngineEntry entry : passes.entries()) {
+    for (JobProgress entry : iterations.entries()) {
       count += entry.job.writes() ? 1 : 0;
     }
     return count;
   }
 
-  /** Returns the cache memory that the known work may take, in tokens. */
+  /** Returns the maximum cache memory that the known jobs use, in tokens. */
   public long memoryTokens() {
     long sum = 0;
-    for (EngineEntry entry : passes.entries()) {
+    for (JobProgress entry : iterations.entries()) {
       sum += entry.job.memoryTokens();
     }
     return sum;
   }
 
-  /** Returns by how much the engine is behind what was expected of it, in milliseconds. */
+  /** Returns by how much the engine is behind the model, in milliseconds. */
   private double overdueMs(long nowMs) {
-    double most = 0;
-    for (EngineEntry entry : passes.entries()) {
-      if (entry.writing() && !entry.confirmed && !entry.shared()) {
-        most = Math.max(most, nowMs - entry.readAtMs);
+    double maxMs = 0;
+    for (JobProgress entry : iterations.entries()) {
+      if (entry.decoding() && !entry.firstTokenConfirmed && !entry.shared()) {
+        maxMs = Math.max(maxMs, nowMs - entry.prefilledAtMs);
       }
     }
-    return most;
+    return maxMs;
   }
 
   /**
-   * Returns what the engine has before it.
+   * Returns the forecast of its load.
    *
-   * @param longTokens the length from which on a prompt does not count as short
+   * @param longTokens the length in tokens from which a prompt counts as long
    */
-  EngineOutlook outlook(long longTokens, long nowMs) {
-    double pace = slowness(nowMs);
-    passes.pace(pace);
-    passes.advance(nowMs);
-    EngineOutlook.Amount waiting = waiting(pace);
-    return new EngineOutlook(
-        passes.remainMs(nowMs),
-        passes.stoppable(),
+  EngineForecast forecast(long longTokens, long nowMs) {
+    double currentSlowness = slowness(nowMs);
+    iterations.setSlowness(currentSlowness);
+    iterations.advance(nowMs);
+    EngineForecast.PrefillWork waiting = waitingWork(currentSlowness);
+    return new EngineForecast(
+        iterations.remainingMs(nowMs),
+        iterations.preemptible(),
         overdueMs(nowMs),
-        passes.stepsIfWritingMs() * pace,
+        iterations.decodeStepsMs() * currentSlowness,
         waiting,
-        sharedMs(pace, nowMs),
-        passes.passTokens(),
-        pace,
+        sharedMs(currentSlowness, nowMs),
+        iterations.maxPrefillTokens(),
+        currentSlowness,
         streams(),
         shortStreams(longTokens),
-        helping(),
-        writing(),
-        unread(waiting, nowMs));
+        helperSegments(),
+        unpausedStreams(),
+        pendingPrefills(waiting, nowMs));
   }
 
-  /** Returns the answers written there, read or not, whose prompts are short. */
+  /** Returns the number of streams with short prompts, prefilled or not. */
   private int shortStreams(long longTokens) {
     int count = 0;
-    for (EngineEntry entry : passes.entries()) {
+    for (JobProgress entry : iterations.entries()) {
       count += entry.job.writes() && entry.job.promptTokens() < longTokens ? 1 : 0;
     }
     return count;
   }
 
-  /** Returns the parts that it still has to read for other engines. */
-  private int helping() {
+  /** Returns the number of segments still to be prefilled for other engines. */
+  private int helperSegments() {
     int count = 0;
-    for (EngineEntry entry : passes.entries()) {
-      count += !entry.isRead() && !entry.job.writes() ? 1 : 0;
+    for (JobProgress entry : iterations.entries()) {
+      count += !entry.isPrefilled() && !entry.job.writes() ? 1 : 0;
     }
     return count;
   }
 
-  /** Returns the answers being written there that have not paused for too long yet. */
-  private List<EngineJob> writing() {
-    List<EngineJob> writing = new ArrayList<>();
-    for (EngineEntry entry : passes.entries()) {
-      if (entry.writing() && !entry.paused) {
-        writing.add(entry.job);
+  /** Returns the decoding streams that have not exceeded their maximum pause yet. */
+  private List<EngineJob> unpausedStreams() {
+    List<EngineJob> unpaused = new ArrayList<>();
+    for (JobProgress entry : iterations.entries()) {
+      if (entry.decoding() && !entry.paused) {
+        unpaused.add(entry.job);
       }
     }
-    return writing;
-  }
-
-  private List<EngineOutlook.Unread> unread(EngineOutlook.Amount waiting, long nowMs) {
-    double passMs = passes.remainMs(nowMs);
-    double allMs = passMs + overdueMs(nowMs) + waiting.ms();
-    List<EngineOutlook.Unread> unread = new ArrayList<>();
-    for (EngineEntry entry : passes.entries()) {
-      if (!entry.isRead()) {
-        boolean inPass = entry.leftTokens() == 0;
-        double firstMs = nowMs - entry.job.sentMs() + (inPass ? passMs : allMs);
-        unread.add(new EngineOutlook.Unread(entry.job, inPass, firstMs));
+    return unpaused;
+  }
+
+  private List<EngineForecast.PendingPrefill> pendingPrefills(
+      EngineForecast.PrefillWork waiting, long nowMs) {
+    double iterationMs = iterations.remainingMs(nowMs);
+    double allWorkMs = iterationMs + overdueMs(nowMs) + waiting.ms();
+    List<EngineForecast.PendingPrefill> pending = new ArrayList<>();
+    for (JobProgress entry : iterations.entries()) {
+      if (!entry.isPrefilled()) {
+        boolean inIteration = entry.unscheduledTokens() == 0;
+        double firstMs = nowMs - entry.job.sentMs() + (inIteration ? iterationMs : allWorkMs);
+        pending.add(new EngineForecast.PendingPrefill(entry.job, inIteration, firstMs));
       }
     }
-    return unread;
+    return pending;
   }
 
-  private EngineOutlook.Amount waiting(double pace) {
+  private EngineForecast.PrefillWork waitingWork(double currentSlowness) {
     double ms = 0;
     long tokens = 0;
-    for (EngineEntry entry : passes.waiting()) {
-      ms += entry.leftMs() * pace;
-      tokens += entry.leftTokens();
+    for (JobProgress entry : iterations.waiting()) {
+      ms += entry.unscheduledMs() * currentSlowness;
+      tokens += entry.unscheduledTokens();
     }
-    return new EngineOutlook.Amount(ms, tokens);
+    return new EngineForecast.PrefillWork(ms, tokens);
   }
 
-  /** Returns how long parts of prompts on several engines are still read, in milliseconds. */
-  private double sharedMs(double pace, long nowMs) {
+  /** Returns the remaining prefill time of all segments of shared prompts, in milliseconds. */
+  private double sharedMs(double currentSlowness, long nowMs) {
     double ms = 0;
-    boolean inPass = false;
-    for (EngineEntry entry : passes.entries()) {
-      if (entry.shared() && !entry.isRead()) {
-        ms += entry.leftMs() * pace;
-        inPass |= entry.inPassMs > 0;
+    boolean inIteration = false;
+    for (JobProgress entry : iterations.entries()) {
+      if (entry.shared() && !entry.isPrefilled()) {
+        ms += entry.unscheduledMs() * currentSlowness;
+        inIteration |= entry.inIterationMs > 0;
       }
     }
-    return inPass ? ms + passes.remainMs(nowMs) : ms;
+    return inIteration ? ms + iterations.remainingMs(nowMs) : ms;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineModelPlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineModelPlacement.java
@@ -14,57 +14,64 @@
 import org.fawndrum.state.EndpointKind;
 
 /**
- * Places by what a choice costs: the value that the request itself is expected to lose by coming
- * late, and the value that others on an engine lose because it has more to read. A long prompt is
- * read by as many engines as it does no harm on: the work is the same, but its first token comes
- * sooner, no engine's answers stand still for long, and hosts that choose at the same moment choose
- * the same engines, which then read one prompt after the other. Short prompts are packed on few
- * engines, so that the others stay free to read. Confined to one thread.
+ * Chooses endpoints by cost: the value that the request itself is expected to lose by its latency,
+ * plus the value that other requests on an engine lose because it has more to prefill.
+ *
+ * <p>The prefill of a long prompt is shared by as many engines as is possible without harm to
+ * others. The work is the same, but its first token comes earlier, no engine's streams pause for
+ * long, and hosts that choose at the same instant choose the same engines, which then prefill one
+ * prompt after the other. Short prompts are packed onto few engines, which leaves the others free
+ * for prefill. Confined to one thread.
  */
 public final class EngineModelPlacement implements Placement {
-  /** The most engines that can read one prompt: the one that writes and sixteen others. */
+  /**
+   * Maximum number of engines that can prefill one prompt: the one that decodes and sixteen
+   * helpers.
+   */
   public static final int MOST_ENGINES = 17;
 
   /**
-   * A prompt does not wait for others that will have been read in this time, in milliseconds: about
-   * what news and the sending take.
+   * Minimum remaining prefill time of other shared prompts for which a prompt waits, in
+   * milliseconds; about the time that updates and sending take.
    */
-  private static final double SOON_MS = 30;
+  private static final double MIN_WAIT_MS = 30;
 
-  /** How many passed-over engines a decision shows. */
-  private static final int SHOWN = 3;
+  /** Maximum number of passed-over engines shown in a decision. */
+  private static final int MAX_PASSED_OVER = 3;
 
-  /** What a plain endpoint in another zone costs, in pieces of work. */
-  private static final double OTHER_ZONE_WORK = 0.5;
+  /** The penalty for a plain endpoint in another zone, in jobs. */
+  private static final double OTHER_ZONE_JOBS = 0.5;
 
   private final PlacementWeights weights;
   private final PlacementCosts costs;
 
-  /** Makes the policy with its weights. */
+  /** Creates the placement policy with its weights. */
   public EngineModelPlacement(PlacementWeights weights) {
     this.weights = weights;
     this.costs = new PlacementCosts(weights);
   }
 
   /**
-   * What one engine would read if so many took part; the same whenever that is sent.
+   * The part of the cost of a segment on one engine that does not depend on when it is sent.
    *
-   * @param harmToWriting what answers there would lose, in value
-   * @param ofOrder what the engine's place in the order costs, in value
+   * @param engines the number of engines that share the prefill
+   * @param segment the work of the segment
+   * @param decodeHarm the value that streams there would lose
+   * @param orderCost the cost of the engine's position in the order
    */
-  private record Share(
+  private record SegmentCost(
       EngineCandidate candidate,
       int engines,
-      EngineOutlook.Amount part,
-      double harmToWriting,
-      double ofOrder) {}
+      EngineForecast.PrefillWork segment,
+      double decodeHarm,
+      double orderCost) {}
 
   /**
-   * One engine that could read a part.
+   * One engine that could prefill a segment.
    *
-   * @param harm what others there would lose, in value, the order among equals included
-   * @param firstTokenMs when its part would be read, in milliseconds
-   * @param cost the harm, and what the request would lose if this part were read last, in value
+   * @param harm the value that others there would lose, including the cost of the order
+   * @param firstTokenMs when its segment would be prefilled, in milliseconds
+   * @param cost the harm, plus the value that the request would lose if this segment were the last
    */
   private record Option(EngineCandidate candidate, double harm, double firstTokenMs, double cost) {
     EndpointState state() {
@@ -72,79 +79,94 @@
     }
   }
 
-  /** Engines that together would take a request, the writing one first. */
+  /** The engines chosen for a request, the decoding one first. */
   private record Plan(List<Option> options, double firstTokenMs, double cost) {
-    /** Returns for how long its engines still read parts that were sent before, in milliseconds. */
-    double waitMs() {
+    /**
+     * Returns how long its engines still prefill segments that were sent before, in milliseconds.
+     */
+    double sharedMs() {
       return options.stream()
-          .mapToDouble(option -> option.candidate().outlook().sharedMs())
+          .mapToDouble(option -> option.candidate().forecast().sharedMs())
           .max()
           .orElse(0);
     }
   }
 
-  /** When a prompt on several engines is sent: engines read what was sent last first. */
-  private enum Turn {
-    /** At once, so that it goes before those that are still being read. */
-    BEFORE_OTHERS,
-    /** When those have been read. */
-    AFTER_OTHERS
+  /** When a shared prompt is sent; engines prefill the segment that was sent last first. */
+  private enum Dispatch {
+    /** At once, ahead of the shared prompts that are still in prefill. */
+    IMMEDIATE,
+    /** After the prefill of those prompts. */
+    DEFERRED
   }
 
   @Override
   public Optional<Choice> choose(Query query) {
     if (query.facts().target().kind() == EndpointKind.PLAIN) {
-      return plain(query);
+      return choosePlainEndpoint(query);
     }
     List<EngineCandidate> candidates = candidates(query);
-    List<List<Share>> shares = shares(query.facts(), candidates);
-    Plan now = best(query, shares, Turn.BEFORE_OTHERS);
-    if (now == null || now.options().size() > 1 && shouldWait(query, candidates, shares, now)) {
+    List<List<SegmentCost>> segmentCosts = segmentCosts(query.facts(), candidates);
+    Plan now = cheapestPlan(query, segmentCosts, Dispatch.IMMEDIATE);
+    if (now == null
+        || now.options().size() > 1 && shouldWait(query, candidates, segmentCosts, now)) {
       return Optional.empty();
     }
     return Optional.of(choice(query, candidates, now));
   }
 
-  /** Tells whether a plan of several engines costs less when those have read what they have. */
+  /**
+   * Returns whether a shared prompt costs less if it is sent after the earlier segments are
+   * prefilled.
+   */
   private boolean shouldWait(
-      Query query, List<EngineCandidate> candidates, List<List<Share>> shares, Plan now) {
-    if (candidates.stream().noneMatch(one -> one.outlook().sharedMs() > SOON_MS)) {
+      Query query,
+      List<EngineCandidate> candidates,
+      List<List<SegmentCost>> segmentCosts,
+      Plan now) {
+    if (candidates.stream().noneMatch(one -> one.forecast().sharedMs() > MIN_WAIT_MS)) {
       return false;
     }
-    Plan later = best(query, shares, Turn.AFTER_OTHERS);
-    return later != null && later.cost() < now.cost() && later.waitMs() > SOON_MS;
+    Plan later = cheapestPlan(query, segmentCosts, Dispatch.DEFERRED);
+    return later != null && later.cost() < now.cost() && later.sharedMs() > MIN_WAIT_MS;
   }
 
-  /** Returns what each engine that can take part would read, for one engine, for two and so on. */
-  private List<List<Share>> shares(RequestFacts facts, List<EngineCandidate> candidates) {
-    int most = Math.min(mostEngines(facts, candidates), candidates.size());
-    List<List<Share>> shares = new ArrayList<>(most);
-    for (int engines = 1; engines <= most; engines++) {
-      shares.add(new ArrayList<>(candidates.size()));
+  /**
+   * Returns the segment costs of all eligible engines, by the number of engines that share the
+   * prefill.
+   */
+  private List<List<SegmentCost>> segmentCosts(
+      RequestFacts facts, List<EngineCandidate> candidates) {
+    int maxEngines = Math.min(maxEngines(facts, candidates), candidates.size());
+    List<List<SegmentCost>> segmentCosts = new ArrayList<>(maxEngines);
+    for (int engines = 1; engines <= maxEngines; engines++) {
+      segmentCosts.add(new ArrayList<>(candidates.size()));
     }
     for (EngineCandidate candidate : candidates) {
-      double ofOrder = costs.ofOrder(facts, candidate);
-      for (int engines = 1; engines <= most; engines++) {
-        if (canTake(facts, candidate, engines)) {
-          EngineOutlook.Amount part = candidate.partOf(facts.promptTokens(), engines);
-          double harm = costs.harmToWriting(candidate.outlook(), part);
-          shares.get(engines - 1).add(new Share(candidate, engines, part, harm, ofOrder));
+      double orderCost = costs.orderCost(facts, candidate);
+      for (int engines = 1; engines <= maxEngines; engines++) {
+        if (isEligible(facts, candidate, engines)) {
+          EngineForecast.PrefillWork segment = candidate.segment(facts.promptTokens(), engines);
+          double harm = costs.decodeHarm(candidate.forecast(), segment);
+          segmentCosts
+              .get(engines - 1)
+              .add(new SegmentCost(candidate, engines, segment, harm, orderCost));
         }
       }
     }
-    return shares;
+    return segmentCosts;
   }
 
-  private static boolean canTake(RequestFacts facts, EngineCandidate candidate, int engines) {
-    boolean able = engines == 1 ? candidate.canWrite() : candidate.canHelp();
-    return able && candidate.freeTokens() >= EngineCandidate.share(facts.workTokens(), engines);
+  private static boolean isEligible(RequestFacts facts, EngineCandidate candidate, int engines) {
+    boolean hasSlot = engines == 1 ? candidate.canDecode() : candidate.canHelp();
+    return hasSlot && candidate.freeTokens() >= EngineCandidate.share(facts.workTokens(), engines);
   }
 
-  /** Returns the plan that costs least; null when no engine can take the request. */
-  private Plan best(Query query, List<List<Share>> shares, Turn turn) {
+  /** Returns the plan with the lowest cost; null if no engine can accept the request. */
+  private Plan cheapestPlan(Query query, List<List<SegmentCost>> segmentCosts, Dispatch dispatch) {
     Plan best = null;
-    for (int engines = 1; engines <= shares.size(); engines++) {
-      Plan plan = plan(query, shares.get(engines - 1), engines, turn);
+    for (int engines = 1; engines <= segmentCosts.size(); engines++) {
+      Plan plan = plan(query, segmentCosts.get(engines - 1), engines, dispatch);
       if (plan != null && (best == null || plan.cost() < best.cost())) {
         best = plan;
       }
@@ -152,8 +174,11 @@
     return best;
   }
 
-  /** Returns how many engines could read a prompt: each reads the tokens of a step or more. */
-  private static int mostEngines(RequestFacts facts, List<EngineCandidate> candidates) {
+  /**
+   * Returns the maximum number of engines for a prompt: each prefills at least the tokens of one
+   * step.
+   */
+  private static int maxEngines(RequestFacts facts, List<EngineCandidate> candidates) {
     if (candidates.isEmpty()) {
       return 0;
     }
@@ -162,7 +187,7 @@
     return (int) Math.max(1, Math.min(MOST_ENGINES, steps));
   }
 
-  private Optional<Choice> plain(Query query) {
+  private Optional<Choice> choosePlainEndpoint(Query query) {
     return query.candidates().stream()
         .filter(query::usable)
         .min(Comparator.comparingDouble(state -> plainCost(state, query)))
@@ -170,58 +195,63 @@
   }
 
   private double plainCost(EndpointState state, Query query) {
-    double otherZone = state.endpoint().zone().equals(query.zone()) ? 0 : OTHER_ZONE_WORK;
+    double otherZone = state.endpoint().zone().equals(query.zone()) ? 0 : OTHER_ZONE_JOBS;
     return state.load().size() + otherZone;
   }
 
   private List<EngineCandidate> candidates(Query query) {
     List<EngineCandidate> candidates = new ArrayList<>();
-    int place = 0;
+    int position = 0;
     for (EndpointState state : query.candidates()) {
-      place++;
+      position++;
       if (query.usable(state) && state.endpoint().engine().isPresent()) {
-        EngineOutlook outlook = state.load().outlook(weights.longTokens(), query.nowMs());
-        double part = place / (double) query.candidates().size();
+        EngineForecast forecast = state.load().forecast(weights.longTokens(), query.nowMs());
+        double orderFraction = position / (double) query.candidates().size();
         double zoneMs = state.endpoint().zone().equals(query.zone()) ? 0 : weights.otherZoneMs();
-        candidates.add(new EngineCandidate(state, outlook, part, zoneMs, freeTokens(state)));
+        candidates.add(
+            new EngineCandidate(state, forecast, orderFraction, zoneMs, freeTokens(state)));
       }
     }
     return candidates;
   }
 
-  /** Returns the best plan of so many engines, or null when fewer can take part. */
-  private Plan plan(Query query, List<Share> shares, int engines, Turn turn) {
-    if (shares.size() < engines) {
+  /** Returns the cheapest plan with a number of engines; null if fewer are eligible. */
+  private Plan plan(Query query, List<SegmentCost> segmentCosts, int engines, Dispatch dispatch) {
+    if (segmentCosts.size() < engines) {
       return null;
     }
-    List<Option> options = new ArrayList<>(shares.size());
-    for (Share share : shares) {
-      options.add(option(query, share, turn));
+    List<Option> options = new ArrayList<>(segmentCosts.size());
+    for (SegmentCost segmentCost : segmentCosts) {
+      options.add(option(query, segmentCost, dispatch));
     }
-    List<Option> chosen = cheapest(query.facts(), options, engines);
+    List<Option> chosen = cheapestOptions(query.facts(), options, engines);
     if (chosen.isEmpty()) {
       return null;
     }
-    double latest = chosen.stream().mapToDouble(Option::firstTokenMs).max().orElse(0);
+    double latestMs = chosen.stream().mapToDouble(Option::firstTokenMs).max().orElse(0);
     double harm = chosen.stream().mapToDouble(Option::harm).sum();
-    double cost = harm + lateness(query, latest) + weights.perEngine() * (engines - 1);
-    return new Plan(chosen, latest, cost);
+    double cost = harm + latenessCost(query, latestMs) + weights.engineCost() * (engines - 1);
+    return new Plan(chosen, latestMs, cost);
   }
 
-  /** Returns what the request loses whose first token comes after a time from now, in value. */
-  private double lateness(Query query, double firstTokenMs) {
+  /** Returns the value that the request loses if its first token comes after a time from now. */
+  private double latenessCost(Query query, double firstTokenMs) {
     long waitedMs = query.nowMs() - query.facts().arrivedMs();
-    return costs.lateness(query.facts(), waitedMs + firstTokenMs);
+    return costs.latenessCost(query.facts(), waitedMs + firstTokenMs);
   }
 
-  /** Returns so many of the options, the one that writes the answer first; none if none can. */
-  private List<Option> cheapest(RequestFacts facts, List<Option> options, int engines) {
+  /**
+   * Returns the cheapest options for a number of engines, the decoding one first; empty if none can
+   * decode.
+   */
+  private List<Option> cheapestOptions(RequestFacts facts, List<Option> options, int engines) {
     Optional<Option> first =
         options.stream()
-            .filter(option -> option.candidate().canWrite())
+            .filter(option -> option.candidate().canDecode())
             .min(
                 Comparator.comparingDouble(
-                    option -> option.cost() + costs.ofWriting(facts, option.candidate(), engines)));
+                    option ->
+                        option.cost() + costs.decoderCost(facts, option.candidate(), engines)));
     if (first.isEmpty()) {
       return List.of();
     }
@@ -231,32 +261,36 @@
         .filter(option -> option != first.get())
         .sorted(
             Comparator.comparingDouble(
-                option -> option.cost() + costs.ofReadingBeside(option.candidate())))
+                option -> option.cost() + costs.mixedPrefillCost(option.candidate())))
         .limit(engines - 1)
         .forEach(chosen::add);
     return chosen;
   }
 
-  /** Returns what it costs that an engine takes its share at its turn. */
-  private Option option(Query query, Share share, Turn turn) {
-    EngineCandidate candidate = share.candidate();
-    int engines = share.engines();
-    double firstMs =
-        firstTokenMs(candidate.outlook(), share.part(), engines, turn) + candidate.zoneMs();
-    boolean before = engines > 1 && turn == Turn.BEFORE_OTHERS;
+  /** Returns the cost of an engine's segment for a time of sending. */
+  private Option option(Query query, SegmentCost segmentCost, Dispatch dispatch) {
+    EngineCandidate candidate = segmentCost.candidate();
+    int engines = segmentCost.engines();
+    double firstTokenMs =
+        firstTokenMs(candidate.forecast(), segmentCost.segment(), engines, dispatch)
+            + candidate.zonePenaltyMs();
+    boolean beforeOthers = engines > 1 && dispatch == Dispatch.IMMEDIATE;
     double harm =
-        share.harmToWriting()
-            + costs.harmToUnread(candidate.outlook(), share.part().ms(), engines, before)
-            + share.ofOrder();
-    return new Option(candidate, harm, firstMs, harm + lateness(query, firstMs));
+        segmentCost.decodeHarm()
+            + costs.prefillHarm(
+                candidate.forecast(), segmentCost.segment().ms(), engines, beforeOthers)
+            + segmentCost.orderCost();
+    return new Option(candidate, harm, firstTokenMs, harm + latenessCost(query, firstTokenMs));
   }
 
   private static double firstTokenMs(
-      EngineOutlook outlook, EngineOutlook.Amount part, int engines, Turn turn) {
+      EngineForecast forecast, EngineForecast.PrefillWork segment, int engines, Dispatch dispatch) {
     if (engines == 1) {
-      return outlook.aloneMs(part);
+      return forecast.singleEngineMs(segment);
     }
-    return turn == Turn.BEFORE_OTHERS ? outlook.sharedMs(part) : outlook.afterOthersMs(part);
+    return dispatch == Dispatch.IMMEDIATE
+        ? forecast.sharedMs(segment)
+        : forecast.deferredMs(segment);
   }
 
   private long freeTokens(EndpointState state) {
@@ -269,11 +303,11 @@
     RequestFacts facts = query.facts();
     Option first = plan.options().get(0);
     List<Helper> helpers = new ArrayList<>();
-    long need = facts.workTokens();
-    boolean alone = first.candidate().freeTokens() >= need;
-    long share = EngineCandidate.share(need, plan.options().size());
+    long workTokens = facts.workTokens();
+    boolean fitsOnFirst = first.candidate().freeTokens() >= workTokens;
+    long segmentTokens = EngineCandidate.share(workTokens, plan.options().size());
     for (Option option : plan.options().subList(1, plan.options().size())) {
-      helpers.add(new Helper(option.state(), alone ? 0 : share));
+      helpers.add(new Helper(option.state(), fitsOnFirst ? 0 : segmentTokens));
     }
     Reason reason = helpers.isEmpty() ? Reason.EARLIEST_FIRST_TOKEN : Reason.SEVERAL_ENGINES;
     OptionalLong expectedMs = OptionalLong.of(Math.round(plan.firstTokenMs()));
@@ -283,14 +317,14 @@
 
   private static List<PassedOver> passedOver(
       RequestFacts facts, List<EngineCandidate> candidates, Option best) {
-    List<PassedOver> shown = new ArrayList<>(SHOWN);
+    List<PassedOver> passedOver = new ArrayList<>(MAX_PASSED_OVER);
     for (EngineCandidate candidate : candidates) {
-      if (shown.size() < SHOWN && candidate != best.candidate()) {
-        EngineOutlook.Amount prompt = candidate.partOf(facts.promptTokens(), 1);
-        long firstMs = Math.round(candidate.outlook().aloneMs(prompt));
-        shown.add(new PassedOver(candidate.name(), firstMs));
+      if (passedOver.size() < MAX_PASSED_OVER && candidate != best.candidate()) {
+        EngineForecast.PrefillWork prompt = candidate.segment(facts.promptTokens(), 1);
+        long firstTokenMs = Math.round(candidate.forecast().singleEngineMs(prompt));
+        passedOver.add(new PassedOver(candidate.name(), firstTokenMs));
       }
     }
-    return List.copyOf(shown);
+    return List.copyOf(passedOver);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineNews.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineNews.java
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.coordination.engine;
 
-/** What one daemon tells the others about its work at endpoints. */
+/** An update from one daemon to the others about its jobs at endpoints. */
 public sealed interface EngineNews {
-  /** Work was sent. */
+  /** A job was sent. */
   record Placed(EngineJob job) implements EngineNews {}
 
-  /** A prompt has been read: its first token came. */
+  /** The prefill of a prompt completed: its first token came. */
   record Read(long id) implements EngineNews {}
 
   /**
-   * Work ended.
+   * A job completed or failed.
    *
    * @param failed whether the endpoint seems to be the cause
    */
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementCosts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementCosts.java
@@ -3,13 +3,16 @@
 
 import org.fawndrum.coordination.RequestFacts;
 
-/** What it costs to send a prompt to an engine, in value. Stateless: equal inputs cost the same. */
+/**
+ * The cost of sending a prompt to an engine, in units of value. Stateless: equal inputs have equal
+ * costs.
+ */
 final class PlacementCosts {
-  /** The aim of a request whose route names none, in milliseconds. */
-  private static final long AIM_IF_NONE_MS = 1_000;
+  /** The first-token target of a request whose route has none, in milliseconds. */
+  private static final long DEFAULT_TARGET_MS = 1_000;
 
-  /** After how many aims a caller that has heard nothing leaves. */
-  private static final double PATIENCE_AIMS = 4;
+  /** Number of first-token targets after which a caller without an answer gives up. */
+  private static final double PATIENCE_TARGETS = 4;
 
   private final PlacementWeights weights;
 
@@ -22,112 +25,120 @@
   }
 
   /**
-   * Returns what a choice costs beyond its own time and the harm that it does at once: short
-   * prompts go where others are, long ones to the last in order among equals.
+   * Returns the cost of a choice beyond its own latency and the harm to others: short prompts
+   * prefer engines that have some, long ones prefer the last engine in the order.
    */
-  double ofOrder(RequestFacts facts, EngineCandidate candidate) {
+  double orderCost(RequestFacts facts, EngineCandidate candidate) {
     if (isLong(facts)) {
-      return weights.perEngine() * (1 - candidate.part());
+      return weights.engineCost() * (1 - candidate.orderFraction());
     }
     int slots = candidate.profile().slots();
-    EngineOutlook outlook = candidate.outlook();
-    boolean opens = outlook.shortStreams() == 0;
-    boolean crowded = slots - outlook.streams() <= 1;
-    double empty = 1 - outlook.shortStreams() / (double) slots;
-    return (opens ? weights.opening() : 0)
-        + weights.packing() * empty
-        + (crowded ? weights.crowding() : 0)
-        + weights.perEngine() * candidate.part();
+    EngineForecast forecast = candidate.forecast();
+    boolean opensEngine = forecast.shortStreams() == 0;
+    boolean crowded = slots - forecast.streams() <= 1;
+    double emptyFraction = 1 - forecast.shortStreams() / (double) slots;
+    return (opensEngine ? weights.openingCost() : 0)
+        + weights.packingCost() * emptyFraction
+        + (crowded ? weights.crowdingCost() : 0)
+        + weights.engineCost() * candidate.orderFraction();
   }
 
-  /** Returns the value that answers lose which pause while an engine reads one more part. */
-  double harmToWriting(EngineOutlook outlook, EngineOutlook.Amount part) {
-    double before = outlook.pauseMs();
-    double after = outlook.pauseMs(part);
+  /** Returns the value that streams lose by pausing while an engine prefills one more segment. */
+  double decodeHarm(EngineForecast forecast, EngineForecast.PrefillWork segment) {
+    double beforeMs = forecast.pauseMs();
+    double afterMs = forecast.pauseMs(segment);
     double harm = 0;
-    for (EngineJob job : outlook.writing()) {
+    for (EngineJob job : forecast.unpausedStreams()) {
       long pauseMs = job.aims().pauseMs();
       if (pauseMs > 0) {
-        harm += lateLoss(job) * (step(after, pauseMs) - step(before, pauseMs));
+        harm +=
+            pauseLoss(job)
+                * (lateProbability(afterMs, pauseMs) - lateProbability(beforeMs, pauseMs));
       }
     }
     return harm;
   }
 
   /**
-   * Returns the value that prompts lose which an engine reads later.
+   * Returns the value that prompts lose because their prefill is delayed.
    *
-   * @param beforeOthers whether the new part goes before parts of prompts on several engines too
+   * @param beforeOthers whether the new segment goes ahead of other shared prompts, too
    */
-  double harmToUnread(EngineOutlook outlook, double partMs, int engines, boolean beforeOthers) {
+  double prefillHarm(EngineForecast forecast, double segmentMs, int engines, boolean beforeOthers) {
     double harm = 0;
-    for (EngineOutlook.Unread one : outlook.unread()) {
-      long aimMs = one.job().aims().firstTokenMs();
-      boolean shared = one.job().parts() > 1;
-      boolean later = one.inPass() ? beforeOthers && outlook.stoppable() : !shared || beforeOthers;
-      if (later && aimMs > 0) {
-        double more = loss(one.firstTokenMs() + partMs, aimMs) - loss(one.firstTokenMs(), aimMs);
-        // A prompt on several engines is held up once, however many of them have more to read.
-        int together = Math.min(engines, one.job().parts());
-        harm += value(one.job().promptTokens()) * more / together;
+    for (EngineForecast.PendingPrefill pending : forecast.pendingPrefills()) {
+      long targetMs = pending.job().aims().firstTokenMs();
+      boolean shared = pending.job().parts() > 1;
+      boolean isDelayed =
+          pending.inIteration() ? beforeOthers && forecast.preemptible() : !shared || beforeOthers;
+      if (isDelayed && targetMs > 0) {
+        double addedLoss =
+            loss(pending.firstTokenMs() + segmentMs, targetMs)
+                - loss(pending.firstTokenMs(), targetMs);
+        // A shared prompt is delayed once, however many of its engines have more to prefill.
+        int engineCount = Math.min(engines, pending.job().parts());
+        harm += value(pending.job().promptTokens()) * addedLoss / engineCount;
       }
     }
     return harm;
   }
 
-  private double lateLoss(EngineJob job) {
+  private double pauseLoss(EngineJob job) {
     return value(job.promptTokens()) * weights.lateLoss();
   }
 
   /**
-   * Returns the value that a request loses whose first token comes after a time from its arrival.
+   * Returns the value that a request loses if its first token comes after a time from its arrival.
    */
-  double lateness(RequestFacts facts, double firstTokenMs) {
-    return value(facts.promptTokens()) * loss(firstTokenMs, aimMs(facts));
+  double latenessCost(RequestFacts facts, double firstTokenMs) {
+    return value(facts.promptTokens()) * loss(firstTokenMs, targetMs(facts));
   }
 
   /**
-   * Returns what part of its value a request loses whose first token comes after a time. It grows
-   * faster the nearer its aim is, so that one that has waited for long is not put behind newer
-   * ones; one that is late anyway loses no more until its caller leaves.
+   * Returns the fraction of its value that a request loses if its first token comes after a time.
+   * The loss grows faster towards the target, so a request that has waited for long is not placed
+   * behind newer ones. A request that is late anyway loses no more until its caller gives up.
    */
-  private double loss(double firstTokenMs, double aimMs) {
-    double late = weights.lateLoss() * step(firstTokenMs, aimMs);
-    double lost = (1 - weights.lateLoss()) * step(firstTokenMs, PATIENCE_AIMS * aimMs);
-    double aims = Math.min(1, firstTokenMs / aimMs);
-    return late + lost + weights.slowLoss() * aims * aims;
+  private double loss(double firstTokenMs, double targetMs) {
+    double lateLoss = weights.lateLoss() * lateProbability(firstTokenMs, targetMs);
+    double abandonLoss =
+        (1 - weights.lateLoss()) * lateProbability(firstTokenMs, PATIENCE_TARGETS * targetMs);
+    double targetFraction = Math.min(1, firstTokenMs / targetMs);
+    return lateLoss + abandonLoss + weights.slowLoss() * targetFraction * targetFraction;
   }
 
-  private static double aimMs(RequestFacts facts) {
-    long aimMs = facts.aims().firstTokenMs();
-    return aimMs > 0 ? aimMs : AIM_IF_NONE_MS;
+  private static double targetMs(RequestFacts facts) {
+    long targetMs = facts.aims().firstTokenMs();
+    return targetMs > 0 ? targetMs : DEFAULT_TARGET_MS;
   }
 
   private double value(long promptTokens) {
     return weights.baseValue() + promptTokens / weights.tokensPerValue();
   }
 
-  /** Returns how likely a time is over its aim: 0 well below, 1 well above. */
-  private double step(double timeMs, double aimMs) {
-    double distance = (timeMs / aimMs - weights.caution()) / weights.sharpness();
+  /** Returns the probability that a time exceeds its target: 0 well below, 1 well above. */
+  private double lateProbability(double timeMs, double targetMs) {
+    double distance =
+        (timeMs / targetMs - weights.usableTargetFraction()) / weights.lateStepWidth();
     return 1 / (1 + Math.exp(-distance));
   }
 
   /**
-   * Returns what it costs that an engine writes an answer of several engines. Where nothing else is
-   * written, passes have no steps and can be stopped, so that engines which only read are kept.
+   * Returns the cost of an engine for decoding a shared prompt. Without decoding streams,
+   * iterations have no decode steps and can be preempted, so engines that only prefill are left
+   * free.
    */
-  double ofWriting(RequestFacts facts, EngineCandidate candidate, int engines) {
+  double decoderCost(RequestFacts facts, EngineCandidate candidate, int engines) {
     if (engines == 1) {
       return 0;
     }
-    boolean opens = candidate.outlook().streams() == 0;
+    boolean opensEngine = candidate.forecast().streams() == 0;
     boolean needsOthers = candidate.freeTokens() < facts.workTokens();
-    return (opens ? weights.opening() : 0) + (needsOthers ? weights.opening() : 0);
+    return (opensEngine ? weights.openingCost() : 0) + (needsOthers ? weights.openingCost() : 0);
   }
 
-  /** Returns what it costs that an engine reads a part beside the answers that it writes. */
-  double ofReadingBeside(EngineCandidate candidate) {
-    return candidate.outlook().streams() == 0 ? 0 : weights.beside();
+  /** Returns the cost of prefilling a segment on an engine that also decodes. */
+  double mixedPrefillCost(EngineCandidate candidate) {
+    return candidate.forecast().streams() == 0 ? 0 : weights.mixedPrefillCost();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementWeights.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementWeights.java
@@ -2,43 +2,46 @@
 package org.fawndrum.coordination.engine;
 
 /**
- * The weights of {@link EngineModelPlacement}. Values are in the worth of a prompt without tokens.
+ * The weights of {@link EngineModelPlacement}. The unit of value is the value of a prompt without
+ * tokens.
  *
- * <p>Measured on played days without the price of processor time, mean over five days with trouble:
- * the model of passes with long prompts on many engines 0.71, few engines that write 0.03 more, the
- * last place of an engine left free 0.01 more, the square of the time up to the aim alone 0.01
- * more. On one such day the packing of short prompts was worth 0.23, waiting for a turn 0.07.
+ * <p>Effect on the score of simulated days without the cost of processor time, mean over five days
+ * with faults: the iteration model with long prompts shared by many engines 0.71, few decoding
+ * engines 0.03 more, the last slot of an engine left free 0.01 more, the square of the time up to
+ * the target alone 0.01 more. On one such day the packing of short prompts contributed 0.23, and
+ * waiting for earlier shared prompts 0.07.
  *
- * @param lateLoss the part of its value that a late answer loses
- * @param baseValue value of a request whatever its length
- * @param tokensPerValue prompt tokens that add one to the value
- * @param sharpness the width of the step between in time and late, as a part of the aim
- * @param caution the part of an aim that may be used up by the model's expectation
- * @param perEngine what each further engine costs, in value
- * @param otherZoneMs what an endpoint in another zone must be faster by, in milliseconds
- * @param slowLoss the part of its value that an answer loses which takes as long as its aim; in
- *     proportion to the square of the time up to there
- * @param opening what a short prompt costs on an engine that has none, in value
- * @param packing what each of its empty places costs, in parts of all its places, in value
- * @param beside what it costs that an engine with answers reads a part, in value
- * @param crowding what it costs in the last places of an engine, which other hosts may take at the
- *     same moment, in value
- * @param memoryMargin the part of an engine's memory that is left free
- * @param longTokens prompts from this length on do not count as short
+ * @param lateLoss the fraction of its value that a late answer loses
+ * @param baseValue the value of a request of any length
+ * @param tokensPerValue the number of prompt tokens that add one to the value
+ * @param lateStepWidth the width of the step between in time and late, as a fraction of the target
+ * @param usableTargetFraction the fraction of a target that the forecast may use up
+ * @param engineCost the cost of each further engine, in value
+ * @param otherZoneMs the penalty for an endpoint in another zone, in milliseconds
+ * @param slowLoss the fraction of its value that an answer loses if it takes as long as its target;
+ *     below that, proportional to the square of the time
+ * @param openingCost the cost of a short prompt on an engine that has none, in value
+ * @param packingCost the cost of a short prompt on an engine without any, in value; proportional to
+ *     the fraction of its slots without short prompts
+ * @param mixedPrefillCost the cost of prefilling a segment on an engine that also decodes, in value
+ * @param crowdingCost the cost of the last slots of an engine, which other hosts may use at the
+ *     same instant, in value
+ * @param memoryMargin the fraction of an engine's memory that is left free
+ * @param longTokens the length from which a prompt counts as long, in tokens
  */
 public record PlacementWeights(
     double lateLoss,
     double baseValue,
     double tokensPerValue,
-    double sharpness,
-    double caution,
-    double perEngine,
+    double lateStepWidth,
+    double usableTargetFraction,
+    double engineCost,
     double otherZoneMs,
     double slowLoss,
-    double opening,
-    double packing,
-    double beside,
-    double crowding,
+    double openingCost,
+    double packingCost,
+    double mixedPrefillCost,
+    double crowdingCost,
     double memoryMargin,
     long longTokens) {
   /** The weights that daemons use. */
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/package-info.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * A model of what engines have to do: every daemon keeps it from its own sends and from what the
- * others tell, so that all place by the same picture. Pure: time comes in with each event.
+ * A model of the load of engines, which every daemon keeps from its own sends and from the updates
+ * of the others, so that all place requests by the same forecasts. Has no I/O and reads no clock:
+ * times are parameters.
  */
 package org.fawndrum.coordination.engine;
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineLoadTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineLoadTest.java
@@ -16,7 +16,7 @@
 import org.fawndrum.state.RequestAims;
 import org.junit.jupiter.api.Test;
 
-/** What the model of one engine expects, and that nothing stays in it. */
+/** The forecasts of one engine's model, and that completed jobs leave nothing in it. */
 class EngineLoadTest {
   private static final EngineProfile PROFILE =
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
@@ -24,30 +24,31 @@
   private static final RequestAims AIMS = new RequestAims(300, 250, 2);
   private static final long LONG_TOKENS = 25_000;
 
-  /** The steps of a pass with one answer, rounded up, in milliseconds. */
+  /** The decode steps of an iteration with one stream, rounded up, in milliseconds. */
   private static final long STEPS_MS = 46;
 
   private final EngineLoad load = new EngineLoad(PROFILE);
 
-  private static EngineJob job(long id, long tokens, int parts, long sentMs) {
-    return new EngineJob(id, ENGINE, tokens, tokens + 100, parts, true, AIMS, sentMs);
+  private static EngineJob job(long id, long tokens, int segments, long sentMs) {
+    return new EngineJob(id, ENGINE, tokens, tokens + 100, segments, true, AIMS, sentMs);
   }
 
-  private static EngineJob partOf(long id, long tokens, int parts, long sentMs) {
-    return new EngineJob(id, ENGINE, tokens, 0, parts, false, AIMS, sentMs);
+  private static EngineJob helperJob(long id, long tokens, int segments, long sentMs) {
+    return new EngineJob(id, ENGINE, tokens, 0, segments, false, AIMS, sentMs);
   }
 
-  private static EngineOutlook.Amount part(long promptTokens, int parts) {
-    return new EngineOutlook.Amount(PROFILE.readMs(promptTokens) / parts, promptTokens / parts);
+  private static EngineForecast.PrefillWork segment(long promptTokens, int segments) {
+    return new EngineForecast.PrefillWork(
+        PROFILE.readMs(promptTokens) / segments, promptTokens / segments);
   }
 
-  private EngineOutlook outlook(long nowMs) {
-    return load.outlook(LONG_TOKENS, nowMs);
+  private EngineForecast forecast(long nowMs) {
+    return load.forecast(LONG_TOKENS, nowMs);
   }
 
-  /** Each number is a step: its remainder by three says which, the rest names the work. */
+  /** Each number is a step: its remainder modulo three selects the event, the quotient the job. */
   @Property(seed = "99", tries = 300)
-  void whateverComesInWhateverOrderNothingStays(
+  void nothingRemainsAfterAnyOrderOfEvents(
       @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 29) Integer> steps) {
     EngineLoad any = new EngineLoad(PROFILE);
     List<Long> ids = new ArrayList<>();
@@ -63,9 +64,9 @@
         case 1 -> any.read(id, nowMs);
         default -> any.ended(id, nowMs);
       }
-      EngineOutlook outlook = any.outlook(LONG_TOKENS, nowMs);
-      assertTrue(outlook.remainMs() >= 0 && outlook.waiting().ms() >= 0);
-      assertTrue(outlook.aloneMs(part(1_000, 1)) > 0 && outlook.sharedMs() >= 0);
+      EngineForecast forecast = any.forecast(LONG_TOKENS, nowMs);
+      assertTrue(forecast.iterationRemainingMs() >= 0 && forecast.waiting().ms() >= 0);
+      assertTrue(forecast.singleEngineMs(segment(1_000, 1)) > 0 && forecast.sharedMs() >= 0);
       assertTrue(any.slowness(nowMs) >= 1);
     }
     for (long id : ids) {
@@ -73,129 +74,132 @@
     }
     assertEquals(0, any.size());
     assertEquals(0, any.memoryTokens());
-    assertEquals(0, any.outlook(LONG_TOKENS, nowMs).waiting().ms());
-    assertEquals(0, any.outlook(LONG_TOKENS, nowMs + 60_000).remainMs());
+    assertEquals(0, any.forecast(LONG_TOKENS, nowMs).waiting().ms());
+    assertEquals(0, any.forecast(LONG_TOKENS, nowMs + 60_000).iterationRemainingMs());
   }
 
   @Test
-  void anIdleEngineReadsAtOnceAndWritesAtTheEndOfThePass() {
+  void idleEnginePrefillsAtOnceAndDecodesAtTheEndOfTheIteration() {
     load.add(job(1, 50_000, 1, 0), 0);
     double wholeMs = PROFILE.readMs(50_000) + PROFILE.passMs(1, 50_000);
-    assertEquals(wholeMs, outlook(0).remainMs(), 0.001);
-    assertEquals(outlook(0).remainMs() - 100, outlook(100).remainMs(), 1);
+    assertEquals(wholeMs, forecast(0).iterationRemainingMs(), 0.001);
+    assertEquals(forecast(0).iterationRemainingMs() - 100, forecast(100).iterationRemainingMs(), 1);
   }
 
   @Test
-  void whatComesDuringAPassWaitsForTheNextOne() {
+  void jobSentDuringAnIterationWaitsForTheNextOne() {
     load.add(job(1, 50_000, 1, 0), 0);
-    double remainMs = outlook(50).remainMs();
+    double remainingMs = forecast(50).iterationRemainingMs();
     load.add(job(2, 20_000, 1, 50), 50);
-    assertEquals(remainMs, outlook(50).remainMs(), 0.001);
-    assertEquals(PROFILE.readMs(20_000), outlook(50).waiting().ms(), 0.001);
+    assertEquals(remainingMs, forecast(50).iterationRemainingMs(), 0.001);
+    assertEquals(PROFILE.readMs(20_000), forecast(50).waiting().ms(), 0.001);
   }
 
   @Test
-  void whatWasSentBeforeThePassBeganIsInItHoweverLateOneHears() {
+  void jobSentBeforeTheIterationBeganIsPartOfItDespiteALateReport() {
     load.add(job(1, 50_000, 1, 30), 30);
-    double remainMs = outlook(50).remainMs();
+    double remainingMs = forecast(50).iterationRemainingMs();
     load.add(job(2, 20_000, 1, 20), 50);
-    assertEquals(remainMs + PROFILE.readMs(20_000), outlook(50).remainMs(), 2);
+    assertEquals(remainingMs + PROFILE.readMs(20_000), forecast(50).iterationRemainingMs(), 2);
   }
 
   @Test
-  void answersStandStillWhileThePassReads() {
+  void streamsPauseDuringPrefill() {
     load.add(job(1, 5_000, 1, 0), 0);
     load.read(1, 70);
-    double calmMs = outlook(80).pauseMs();
-    EngineOutlook.Amount part = part(50_000, 1);
-    assertEquals(calmMs + part.ms(), outlook(80).pauseMs(part), 0.001);
+    double idlePauseMs = forecast(80).pauseMs();
+    EngineForecast.PrefillWork segment = segment(50_000, 1);
+    assertEquals(idlePauseMs + segment.ms(), forecast(80).pauseMs(segment), 0.001);
     load.add(job(2, 50_000, 1, 80), 80);
     load.add(job(3, 50_000, 1, 80), 80);
-    // The next pass reads them, so that the first answer has paused for too long.
-    assertFalse(outlook(200).writing().stream().anyMatch(one -> one.id() == 1));
+    // The next iteration prefills them, so the first stream has paused for too long.
+    assertFalse(forecast(200).unpausedStreams().stream().anyMatch(one -> one.id() == 1));
   }
 
   @Test
-  void aPassReadsABoundedNumberOfTokensWhileAnswersAreWritten() {
+  void prefillPerIterationIsBoundedWhileStreamsDecode() {
     load.add(job(1, 5_000, 1, 0), 0);
     load.read(1, 70);
-    EngineOutlook.Amount part = part(200_000, 1);
-    double pauseMs = outlook(80).pauseMs(part);
-    assertTrue(pauseMs < part.ms() / 2 + STEPS_MS, pauseMs + " of " + part.ms());
+    EngineForecast.PrefillWork segment = segment(200_000, 1);
+    double pauseMs = forecast(80).pauseMs(segment);
+    assertTrue(pauseMs < segment.ms() / 2 + STEPS_MS, pauseMs + " of " + segment.ms());
   }
 
   @Test
-  void partsOfSharedPromptsGoBeforeOthersThatWaitTheNewestFirst() {
-    EnginePasses passes = new EnginePasses(PROFILE);
-    passes.add(job(1, 5_000, 1, 0), 0);
-    passes.advance(100);
-    passes.add(job(2, 20_000, 1, 101), 101);
-    passes.add(partOf(3, 60_000, 3, 102), 102);
-    passes.add(partOf(4, 60_000, 3, 103), 103);
-    List<Long> order = passes.waiting().stream().map(one -> one.job.id()).toList();
+  void segmentsGoBeforeUnsharedPromptsNewestFirst() {
+    EngineIterations iterations = new EngineIterations(PROFILE);
+    iterations.add(job(1, 5_000, 1, 0), 0);
+    iterations.advance(100);
+    iterations.add(job(2, 20_000, 1, 101), 101);
+    iterations.add(helperJob(3, 60_000, 3, 102), 102);
+    iterations.add(helperJob(4, 60_000, 3, 103), 103);
+    List<Long> order = iterations.waiting().stream().map(one -> one.job.id()).toList();
     assertEquals(List.of(4L, 3L, 2L), order);
   }
 
   @Test
-  void aNewPartStopsAReadingWhileNoAnswerIsWritten() {
-    load.add(partOf(1, 200_000, 2, 0), 0);
-    double wholeMs = outlook(0).sharedMs();
-    load.add(partOf(2, 40_000, 2, 500), 500);
-    double partMs = PROFILE.readMs(40_000) / 2;
-    assertEquals(partMs, outlook(500).remainMs(), 1);
-    assertEquals(wholeMs - 500 + partMs, outlook(500).sharedMs(), 1);
+  void newSegmentPreemptsPrefillWhileNothingDecodes() {
+    load.add(helperJob(1, 200_000, 2, 0), 0);
+    double wholeMs = forecast(0).sharedMs();
+    load.add(helperJob(2, 40_000, 2, 500), 500);
+    double segmentMs = PROFILE.readMs(40_000) / 2;
+    assertEquals(segmentMs, forecast(500).iterationRemainingMs(), 1);
+    assertEquals(wholeMs - 500 + segmentMs, forecast(500).sharedMs(), 1);
     assertEquals(
-        partMs, outlook(500).sharedMs(part(40_000, 2)) - outlook(500).stepsIfWritingMs(), 0.001);
+        segmentMs,
+        forecast(500).sharedMs(segment(40_000, 2)) - forecast(500).decodeStepsMs(),
+        0.001);
   }
 
   @Test
-  void aNewPartWaitsForTheEndOfThePassWhileAnAnswerIsWritten() {
+  void newSegmentWaitsForTheEndOfTheIterationWhileAStreamDecodes() {
     load.add(job(1, 5_000, 1, 0), 0);
     load.read(1, 70);
-    load.add(partOf(2, 100_000, 2, 80), 80);
-    EngineOutlook busy = outlook(200);
-    assertFalse(busy.stoppable());
-    assertTrue(busy.sharedMs(part(10_000, 2)) > busy.remainMs());
+    load.add(helperJob(2, 100_000, 2, 80), 80);
+    EngineForecast busy = forecast(200);
+    assertFalse(busy.preemptible());
+    assertTrue(busy.sharedMs(segment(10_000, 2)) > busy.iterationRemainingMs());
   }
 
   @Test
-  void aPartHasBeenReadWhenItsTimeIsOverAlthoughNobodySaysSo() {
-    load.add(partOf(1, 100_000, 4, 0), 0);
-    assertEquals(1, outlook(10).helping());
-    EngineOutlook later = outlook(5_000);
-    assertEquals(0, later.helping());
-    assertEquals(0, later.remainMs() + later.waiting().ms() + later.overdueMs());
+  void segmentCountsAsPrefilledAfterItsTimeWithoutAReport() {
+    load.add(helperJob(1, 100_000, 4, 0), 0);
+    assertEquals(1, forecast(10).helperSegments());
+    EngineForecast later = forecast(5_000);
+    assertEquals(0, later.helperSegments());
+    assertEquals(0, later.iterationRemainingMs() + later.waiting().ms() + later.overdueMs());
   }
 
   @Test
-  void aFirstTokenThatComesSoonerThanExpectedEndsThePass() {
+  void earlyFirstTokenEndsTheIteration() {
     load.add(job(1, 100_000, 1, 0), 0);
     load.add(job(2, 5_000, 1, 10), 10);
     load.read(1, 200);
-    assertEquals(0, outlook(200).waiting().ms());
-    assertTrue(outlook(200).remainMs() < 2 * STEPS_MS);
+    assertEquals(0, forecast(200).waiting().ms());
+    assertTrue(forecast(200).iterationRemainingMs() < 2 * STEPS_MS);
   }
 
   @Test
-  void aPassThatEndsSoonerHasNotReadTheOtherPartsInIt() {
+  void iterationThatEndsEarlyHasNotPrefilledItsOtherSegments() {
     load.add(job(1, 5_000, 1, 0), 0);
     load.read(1, 70);
     load.add(job(2, 5_000, 1, 71), 71);
-    load.add(partOf(3, 200_000, 4, 72), 72);
-    double wholeMs = outlook(72).sharedMs();
-    // Both are in the pass that begins next; the first token of one shows that the other was not.
+    load.add(helperJob(3, 200_000, 4, 72), 72);
+    double wholeMs = forecast(72).sharedMs();
+    // Both are scheduled in the next iteration; the first token of one shows that the other was not
+    // segment of it.
     load.read(2, 200);
-    assertTrue(outlook(200).sharedMs() > wholeMs / 2, outlook(200) + " of " + wholeMs);
+    assertTrue(forecast(200).sharedMs() > wholeMs / 2, forecast(200) + " of " + wholeMs);
   }
 
   @Test
-  void anEngineThatIsBehindIsExpectedToStayBehind() {
+  void overdueEngineStaysOverdue() {
     load.add(job(1, 20_000, 1, 0), 0);
-    assertTrue(outlook(60_000).overdueMs() > 50_000);
+    assertTrue(forecast(60_000).overdueMs() > 50_000);
   }
 
   @Test
-  void aSlowEngineIsSeenAsSlowForAWhile() {
+  void observedSlownessDecays() {
     load.add(job(1, 20_000, 1, 0), 0);
     load.read(1, 2_000);
     double slow = load.slowness(2_000);
@@ -203,18 +207,18 @@
     assertTrue(load.slowness(30_000) < 1.1);
   }
 
-  /** Operators may leave figures out; the model must still come to the present. */
+  /** Operators may leave figures out; the simulation must still reach the present. */
   @Test
-  void anEngineWithoutFiguresForItsStepsHasPassesAllTheSame() {
+  void engineWithoutStepFiguresStillHasIterations() {
     EngineLoad odd = new EngineLoad(new EngineProfile(11, 232_000, 0, 0, 0, 0, 206, 0, 0, 0));
     odd.add(job(1, 1_000, 1, 0), 0);
     odd.read(1, 10);
     odd.add(job(2, 1_000, 1, 20), 20);
-    assertEquals(2, odd.outlook(LONG_TOKENS, 1_000).streams());
+    assertEquals(2, odd.forecast(LONG_TOKENS, 1_000).streams());
   }
 
   @Test
-  void aPlainServiceIsOnlyCounted() {
+  void plainServiceJobsAreOnlyCounted() {
     EngineLoad plain = new EngineLoad(null);
     plain.add(new EngineJob(1, ENGINE, 0, 0, 1, true, AIMS, 0), 0);
     plain.read(1, 10);
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineModelPlacementTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineModelPlacementTest.java
@@ -36,7 +36,7 @@
 import org.fawndrum.state.TableParts;
 import org.junit.jupiter.api.Test;
 
-/** Where the model of the engines sends prompts of different lengths. */
+/** Which engines prompts of different lengths are sent to. */
 class EngineModelPlacementTest {
   private static final EngineProfile PROFILE =
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
@@ -52,7 +52,7 @@
           SELF,
           "zone-a",
           Policies.engineModel(new EarnedRetryBudget(0.1, 10), () -> byZone, () -> silentZones));
-  private int next;
+  private int nextRequest;
 
   EngineModelPlacementTest() {
     Row row = Row.EMPTY.with(Column.DEADLINE_MS, new Cell("15000", 0, "ana"));
@@ -63,7 +63,7 @@
     engines(count, 0);
   }
 
-  /** Brings engines in; the first of them in another zone. */
+  /** Adds engines; the first of them are in another zone. */
   private void engines(int count, int elsewhere) {
     List<Endpoint> engines = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -80,10 +80,10 @@
     coordinator.endpoints(engines, 0);
   }
 
-  private Optional<Action.Send> ask(long promptTokens, RequestAims aims, long nowMs) {
+  private Optional<Action.Send> sendRequest(long promptTokens, RequestAims aims, long nowMs) {
     RequestFacts facts =
         new RequestFacts(
-            "r-" + next++,
+            "r-" + nextRequest++,
             GROUP,
             new RequestTarget(EndpointKind.MODEL, "pool"),
             promptTokens,
@@ -96,59 +96,59 @@
     return sends(coordinator.arrive(facts, nowMs)).stream().findFirst();
   }
 
-  private void answering(Action.Send send, long nowMs) {
+  private void firstToken(Action.Send send, long nowMs) {
     coordinator.attempt(send.attempt(), AttemptEvent.ANSWERING, nowMs);
   }
 
   @Test
-  void shortAndLongPromptsKeepApart() {
+  void shortAndLongPromptsUseDifferentEngines() {
     engines(6);
-    Action.Send first = ask(5_000, SHORT_AIMS, 0).orElseThrow();
-    answering(first, 80);
-    Action.Send longOne = ask(120_000, LONG_AIMS, 100).orElseThrow();
+    Action.Send first = sendRequest(5_000, SHORT_AIMS, 0).orElseThrow();
+    firstToken(first, 80);
+    Action.Send longOne = sendRequest(120_000, LONG_AIMS, 100).orElseThrow();
     assertNotEquals(first.endpoint(), longOne.endpoint());
-    Action.Send second = ask(5_000, SHORT_AIMS, 120).orElseThrow();
+    Action.Send second = sendRequest(5_000, SHORT_AIMS, 120).orElseThrow();
     assertNotEquals(longOne.endpoint(), second.endpoint());
   }
 
   @Test
-  void whereDaemonsAreManyTheOwnZoneGoesFirst() {
+  void ownZoneIsPreferredInLargeFleets() {
     byZone = true;
     engines(6, 4);
     for (int i = 0; i < 2 * PROFILE.slots(); i++) {
-      assertEquals("zone-a", ask(1_000, SHORT_AIMS, i).orElseThrow().endpoint().zone());
+      assertEquals("zone-a", sendRequest(1_000, SHORT_AIMS, i).orElseThrow().endpoint().zone());
     }
-    assertEquals("zone-b", ask(1_000, SHORT_AIMS, 100).orElseThrow().endpoint().zone());
+    assertEquals("zone-b", sendRequest(1_000, SHORT_AIMS, 100).orElseThrow().endpoint().zone());
   }
 
   @Test
-  void whereDaemonsAreManyOtherZonesServeOneWithoutEngines() {
+  void largeFleetsUseOtherZonesForAZoneWithoutEngines() {
     byZone = true;
     engines(3, 3);
-    assertEquals("zone-b", ask(1_000, SHORT_AIMS, 0).orElseThrow().endpoint().zone());
+    assertEquals("zone-b", sendRequest(1_000, SHORT_AIMS, 0).orElseThrow().endpoint().zone());
   }
 
   @Test
-  void aSilentZoneTakesNoPartInAPromptOfSeveralEngines() {
+  void silentZoneDoesNotShareAPrefill() {
     engines(8, 4);
     silentZones = Set.of("zone-b");
-    Action.Send send = ask(200_000, LONG_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(200_000, LONG_AIMS, 0).orElseThrow();
     assertEquals("zone-a", send.endpoint().zone());
     assertEquals(3, send.helpers().size());
     assertTrue(send.helpers().stream().allMatch(one -> one.endpoint().zone().equals("zone-a")));
   }
 
   @Test
-  void aSilentZoneServesWhereNoOtherEngineIs() {
+  void silentZoneServesIfThereIsNoOtherEngine() {
     engines(3, 3);
     silentZones = Set.of("zone-b");
-    assertEquals("zone-b", ask(1_000, SHORT_AIMS, 0).orElseThrow().endpoint().zone());
+    assertEquals("zone-b", sendRequest(1_000, SHORT_AIMS, 0).orElseThrow().endpoint().zone());
   }
 
   @Test
-  void newsSayWhichZoneTheyConcern() {
+  void updatesNameTheZoneOfTheirEndpoint() {
     engines(1, 1);
-    Action.Send send = ask(1_000, SHORT_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(1_000, SHORT_AIMS, 0).orElseThrow();
     List<Action> read = coordinator.attempt(send.attempt(), AttemptEvent.ANSWERING, 50);
     List<Action> ended = coordinator.attempt(send.attempt(), AttemptEvent.ANSWERED, 90);
     assertEquals(List.of("zone-b"), announcedZones(read));
@@ -163,49 +163,49 @@
   }
 
   @Test
-  void aPromptThatOneEngineReadsTooLateIsReadBySeveral() {
+  void promptTooLongForOneEngineIsShared() {
     engines(8);
-    Action.Send send = ask(200_000, LONG_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(200_000, LONG_AIMS, 0).orElseThrow();
     assertTrue(send.helpers().size() >= 1, "helpers " + send.helpers());
     assertTrue(send.helpers().stream().allMatch(helper -> helper.memoryTokens() == 0));
   }
 
   @Test
-  void aPromptLargerThanOneEngineSetsMemoryAsideOnOthers() {
+  void promptLargerThanOneEngineReservesMemoryOnHelpers() {
     engines(8);
-    Action.Send send = ask(400_000, LONG_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(400_000, LONG_AIMS, 0).orElseThrow();
     long elsewhere = send.helpers().stream().mapToLong(Action.Helper::memoryTokens).sum();
     assertTrue(401_000 - elsewhere <= PROFILE.memoryTokens(), "elsewhere " + elsewhere);
   }
 
   @Test
-  void aFullEngineGetsNothingMore() {
+  void fullEngineGetsNoMoreRequests() {
     engines(1);
     for (int i = 0; i < PROFILE.slots(); i++) {
-      assertTrue(ask(1_000, SHORT_AIMS, 0).isPresent());
+      assertTrue(sendRequest(1_000, SHORT_AIMS, 0).isPresent());
     }
-    assertTrue(ask(1_000, SHORT_AIMS, 0).isEmpty());
+    assertTrue(sendRequest(1_000, SHORT_AIMS, 0).isEmpty());
     assertEquals(1, coordinator.waiting());
   }
 
   @Test
-  void whatAnotherDaemonSentIsSeen() {
+  void jobsOfOtherDaemonsAreCounted() {
     engines(2);
-    HostIdentity busy = ask(5_000, SHORT_AIMS, 0).orElseThrow().endpoint().identity();
+    HostIdentity busy = sendRequest(5_000, SHORT_AIMS, 0).orElseThrow().endpoint().identity();
     HostIdentity other = new HostIdentity("host-2", 1);
     EngineJob job = new EngineJob(1, busy, 200_000, 201_000, 1, true, LONG_AIMS, 10);
-    List<EngineNews> news = List.of(new EngineNews.Placed(job));
-    FleetReport report = new FleetReport(other, Optional.empty(), 1, "zone-a", false, news);
+    List<EngineNews> updates = List.of(new EngineNews.Placed(job));
+    FleetReport report = new FleetReport(other, Optional.empty(), 1, "zone-a", false, updates);
     coordinator.told(List.of(report), 10);
-    assertNotEquals(busy, ask(5_000, SHORT_AIMS, 20).orElseThrow().endpoint().identity());
+    assertNotEquals(busy, sendRequest(5_000, SHORT_AIMS, 20).orElseThrow().endpoint().identity());
     coordinator.daemonGone(other, 30);
-    assertEquals(busy, ask(5_000, SHORT_AIMS, 40).orElseThrow().endpoint().identity());
+    assertEquals(busy, sendRequest(5_000, SHORT_AIMS, 40).orElseThrow().endpoint().identity());
   }
 
   @Test
-  void aHelperAtFaultIsLeftOutAndItsFirstEngineIsNotBlamed() {
+  void failedHelperIsExcludedAndTheFirstEngineIsNotBlamed() {
     engines(8);
-    Action.Send send = ask(400_000, LONG_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(400_000, LONG_AIMS, 0).orElseThrow();
     HostIdentity atFault = send.helpers().get(0).endpoint().identity();
     coordinator.helperRefused(send.attempt(), atFault, 5);
     Action.Send again =
@@ -218,63 +218,63 @@
         again.helpers().stream().noneMatch(one -> one.endpoint().identity().equals(atFault)));
     assertNotEquals(atFault, again.endpoint().identity());
     assertEquals(send.endpoint(), again.endpoint());
-    // While it is read, another prompt of its length would wait for its turn.
+    // During its prefill, another prompt of its length would wait.
     coordinator.attempt(again.attempt(), AttemptEvent.ANSWERED, 8);
-    Action.Send other = ask(400_000, LONG_AIMS, 10).orElseThrow();
+    Action.Send other = sendRequest(400_000, LONG_AIMS, 10).orElseThrow();
     assertTrue(
         other.helpers().stream().noneMatch(one -> one.endpoint().identity().equals(atFault)));
   }
 
   @Test
-  void shortPromptsGatherAndLeaveOneEnginesLastPlaceFree() {
+  void shortPromptsArePackedAndLeaveTheLastSlotFree() {
     engines(6);
     Set<HostIdentity> used = new HashSet<>();
     for (int i = 0; i < PROFILE.slots() - 1; i++) {
-      Action.Send send = ask(1_000, SHORT_AIMS, 200 * i).orElseThrow();
-      answering(send, 200 * i + 60);
+      Action.Send send = sendRequest(1_000, SHORT_AIMS, 200 * i).orElseThrow();
+      firstToken(send, 200 * i + 60);
       used.add(send.endpoint().identity());
     }
     assertEquals(1, used.size());
-    Action.Send next = ask(1_000, SHORT_AIMS, 3_000).orElseThrow();
-    assertFalse(used.contains(next.endpoint().identity()));
+    Action.Send nextRequest = sendRequest(1_000, SHORT_AIMS, 3_000).orElseThrow();
+    assertFalse(used.contains(nextRequest.endpoint().identity()));
   }
 
   @Test
-  void aLongPromptIsReadByEveryEngineThatWritesNothing() {
+  void longPromptIsSharedByAllEnginesWithoutStreams() {
     engines(8);
-    answering(ask(1_000, SHORT_AIMS, 0).orElseThrow(), 60);
-    Action.Send send = ask(200_000, LONG_AIMS, 100).orElseThrow();
+    firstToken(sendRequest(1_000, SHORT_AIMS, 0).orElseThrow(), 60);
+    Action.Send send = sendRequest(200_000, LONG_AIMS, 100).orElseThrow();
     assertEquals(6, send.helpers().size());
   }
 
   @Test
-  void longAnswersAreWrittenWhereOthersAre() {
+  void longAnswersShareADecodingEngine() {
     engines(8);
-    Action.Send first = ask(90_000, LONG_AIMS, 0).orElseThrow();
-    answering(first, 200);
-    Action.Send second = ask(90_000, LONG_AIMS, 300).orElseThrow();
+    Action.Send first = sendRequest(90_000, LONG_AIMS, 0).orElseThrow();
+    firstToken(first, 200);
+    Action.Send second = sendRequest(90_000, LONG_AIMS, 300).orElseThrow();
     assertEquals(first.endpoint(), second.endpoint());
-    answering(second, 500);
+    firstToken(second, 500);
     // Two such prompts fill the memory of an engine.
-    Action.Send third = ask(90_000, LONG_AIMS, 600).orElseThrow();
+    Action.Send third = sendRequest(90_000, LONG_AIMS, 600).orElseThrow();
     assertNotEquals(first.endpoint(), third.endpoint());
   }
 
   @Test
-  void aPromptWaitsWhileAnOlderOneIsReadAndIsSentAfterIt() {
+  void promptWaitsForThePrefillOfAnOlderOne() {
     engines(8);
-    Action.Send older = ask(400_000, LONG_AIMS, 0).orElseThrow();
-    assertTrue(ask(400_000, LONG_AIMS, 100).isEmpty());
+    Action.Send older = sendRequest(400_000, LONG_AIMS, 0).orElseThrow();
+    assertTrue(sendRequest(400_000, LONG_AIMS, 100).isEmpty());
     assertEquals(1, coordinator.waiting());
-    answering(older, 1_900);
+    firstToken(older, 1_900);
     coordinator.attempt(older.attempt(), AttemptEvent.ANSWERED, 1_950);
     coordinator.tick(2_000);
     assertEquals(0, coordinator.waiting());
   }
 
-  /** Each number is a step: a prompt of some length, or the end of the oldest one. */
+  /** Each number is a step: a prompt of some length, or the completion of the oldest one. */
   @Property(seed = "7", tries = 200)
-  void noEngineWritesMoreThanItHasPlacesForAndNoneIsNamedTwice(
+  void noEngineExceedsItsSlotsOrIsChosenTwice(
       @ForAll @Size(max = 80) List<@IntRange(min = 0, max = 9) Integer> steps) {
     engines(5);
     List<Action.Send> open = new ArrayList<>();
@@ -285,7 +285,8 @@
         Action.Send oldest = open.remove(0);
         open.addAll(sends(coordinator.attempt(oldest.attempt(), AttemptEvent.ANSWERED, nowMs)));
       } else {
-        ask(1L << (9 + step), step < 5 ? SHORT_AIMS : LONG_AIMS, nowMs).ifPresent(open::add);
+        sendRequest(1L << (9 + step), step < 5 ? SHORT_AIMS : LONG_AIMS, nowMs)
+            .ifPresent(open::add);
       }
       open.addAll(sends(coordinator.tick(nowMs)));
       for (Action.Send one : open) {
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/PlacementFormulaTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/PlacementFormulaTest.java
@@ -28,7 +28,7 @@
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.RequestAims;
 
-/** Holds the placement against its formula, written down without any saving of work. */
+/** Compares the placement with its formula, implemented without any optimization. */
 class PlacementFormulaTest {
   private static final PlacementWeights WEIGHTS = PlacementWeights.DEFAULT;
   private static final List<EngineProfile> PROFILES =
@@ -39,37 +39,39 @@
   private static final List<RequestAims> AIMS =
       List.of(RequestAims.NONE, new RequestAims(300, 250, 2), new RequestAims(2_500, 1_000, 2));
 
-  /** From how many milliseconds of earlier parts on a prompt waits for its turn. */
-  private static final double SOON_MS = 30;
+  /**
+   * Minimum remaining prefill time of earlier segments for which a prompt waits, in milliseconds.
+   */
+  private static final double MIN_WAIT_MS = 30;
 
   private long nextId;
 
   @Property(seed = "31", tries = 3_000)
-  void eachChoiceIsTheOneOfTheFormula(@ForAll Random random) {
+  void everyChoiceMatchesTheFormula(@ForAll Random random) {
     Placement.Query query = query(random);
     Optional<Placement.Choice> expected = new Formula(query).choice();
     assertEquals(expected, new EngineModelPlacement(WEIGHTS).choose(query));
     Statistics.label("choice")
         .collect(expected.map(choice -> choice.helpers().isEmpty() ? "one" : "several").orElse(""))
         .coverage(
-            seen -> {
-              seen.check("one").percentage(part -> part > 10);
-              seen.check("several").percentage(part -> part > 10);
-              seen.check("").percentage(part -> part > 3);
+            coverage -> {
+              coverage.check("one").percentage(part -> part > 10);
+              coverage.check("several").percentage(part -> part > 10);
+              coverage.check("").percentage(part -> part > 3);
             });
   }
 
   private Placement.Query query(Random random) {
     EngineProfile profile = PROFILES.get(random.nextInt(PROFILES.size()));
     long nowMs = 1_000 + random.nextInt(2_000);
-    int busy = random.nextInt(12);
+    int maxJobs = random.nextInt(12);
     List<EndpointState> states = new ArrayList<>();
     Set<HostIdentity> excluded = new HashSet<>();
     int count = 1 + random.nextInt(20);
     for (int i = 0; i < count; i++) {
       EndpointState state = TestEndpoints.state(engine(i, random.nextInt(4) == 0, profile));
       states.add(state);
-      fill(state, random, busy, nowMs);
+      fill(state, random, maxJobs, nowMs);
       if (random.nextInt(15) == 0) {
         excluded.add(state.endpoint().identity());
       }
@@ -102,10 +104,10 @@
         Optional.of(profile));
   }
 
-  /** Gives an engine some work, part of which has been read or has ended. */
-  private void fill(EndpointState state, Random random, int busy, long nowMs) {
+  /** Adds jobs to an engine, some of them prefilled or completed. */
+  private void fill(EndpointState state, Random random, int maxJobs, long nowMs) {
     long sentMs = 0;
-    int jobs = random.nextInt(1 + busy);
+    int jobs = random.nextInt(1 + maxJobs);
     for (int i = 0; i < jobs; i++) {
       sentMs += random.nextInt((int) (nowMs / jobs) + 1);
       long id = nextId++;
@@ -137,7 +139,7 @@
     private final RequestFacts facts;
     private final List<EngineCandidate> candidates = new ArrayList<>();
 
-    /** Engines that together take the request, the writing one first. */
+    /** The engines chosen for the request, the decoding one first. */
     private record Plan(List<EngineCandidate> engines, double firstTokenMs, double cost) {}
 
     Formula(Placement.Query query) {
@@ -147,14 +149,14 @@
       for (int i = 0; i < count; i++) {
         EndpointState state = query.candidates().get(i);
         if (query.usable(state)) {
-          EngineOutlook outlook = state.load().outlook(WEIGHTS.longTokens(), query.nowMs());
+          EngineForecast forecast = state.load().forecast(WEIGHTS.longTokens(), query.nowMs());
           boolean here = state.endpoint().zone().equals(query.zone());
           long memory = state.endpoint().memoryTokens();
           long margin = (long) (memory * WEIGHTS.memoryMargin());
           long free = memory - margin - state.load().memoryTokens();
           double zoneMs = here ? 0 : WEIGHTS.otherZoneMs();
           candidates.add(
-              new EngineCandidate(state, outlook, (i + 1) / (double) count, zoneMs, free));
+              new EngineCandidate(state, forecast, (i + 1) / (double) count, zoneMs, free));
         }
       }
     }
@@ -165,21 +167,21 @@
         return Optional.empty();
       }
       Plan later = best(false);
-      boolean waits =
+      boolean shouldWait =
           now.engines.size() > 1
               && later.cost < now.cost
-              && later.engines.stream().anyMatch(one -> one.outlook().sharedMs() > SOON_MS);
-      return waits ? Optional.empty() : Optional.of(choice(now));
+              && later.engines.stream().anyMatch(one -> one.forecast().sharedMs() > MIN_WAIT_MS);
+      return shouldWait ? Optional.empty() : Optional.of(choice(now));
     }
 
     private Placement.Choice choice(Plan plan) {
       EngineCandidate first = plan.engines.get(0);
-      long each = roundedUp(facts.workTokens(), plan.engines.size());
-      long elsewhere = first.freeTokens() >= facts.workTokens() ? 0 : each;
+      long segmentTokens = roundedUp(facts.workTokens(), plan.engines.size());
+      long helperTokens = first.freeTokens() >= facts.workTokens() ? 0 : segmentTokens;
       List<Placement.Helper> helpers =
           plan.engines.stream()
               .skip(1)
-              .map(one -> new Placement.Helper(one.state(), elsewhere))
+              .map(one -> new Placement.Helper(one.state(), helperTokens))
               .toList();
       Reason reason = helpers.isEmpty() ? Reason.EARLIEST_FIRST_TOKEN : Reason.SEVERAL_ENGINES;
       return new Placement.Choice(
@@ -188,20 +190,20 @@
           candidates.stream()
               .filter(one -> one != first)
               .limit(3)
-              .map(one -> new PassedOver(one.name(), Math.round(aloneMs(one))))
+              .map(one -> new PassedOver(one.name(), Math.round(singleEngineMs(one))))
               .toList(),
           helpers,
           OptionalLong.of(Math.round(plan.firstTokenMs)));
     }
 
-    private double aloneMs(EngineCandidate one) {
-      return one.outlook().aloneMs(part(one, 1));
+    private double singleEngineMs(EngineCandidate one) {
+      return one.forecast().singleEngineMs(segment(one, 1));
     }
 
-    private Plan best(boolean atOnce) {
+    private Plan best(boolean immediate) {
       Plan best = null;
-      for (int count = 1; count <= most(); count++) {
-        Plan plan = plan(count, atOnce);
+      for (int count = 1; count <= maxEngines(); count++) {
+        Plan plan = plan(count, immediate);
         if (plan != null && (best == null || plan.cost < best.cost)) {
           best = plan;
         }
@@ -209,7 +211,7 @@
       return best;
     }
 
-    private int most() {
+    private int maxEngines() {
       if (candidates.isEmpty()) {
         return 0;
       }
@@ -217,67 +219,72 @@
       return (int) Math.max(1, Math.min(Math.min(17, steps), candidates.size()));
     }
 
-    private Plan plan(int count, boolean atOnce) {
-      List<EngineCandidate> able =
+    private Plan plan(int count, boolean immediate) {
+      List<EngineCandidate> eligible =
           candidates.stream()
-              .filter(one -> count == 1 ? one.canWrite() : one.canHelp())
+              .filter(one -> count == 1 ? one.canDecode() : one.canHelp())
               .filter(one -> one.freeTokens() >= roundedUp(facts.workTokens(), count))
               .toList();
-      EngineCandidate writer = null;
-      for (EngineCandidate one : able) {
-        boolean can = one.canWrite();
-        if (can
-            && (writer == null || writing(one, count, atOnce) < writing(writer, count, atOnce))) {
-          writer = one;
+      EngineCandidate decoder = null;
+      for (EngineCandidate one : eligible) {
+        boolean canDecode = one.canDecode();
+        if (canDecode
+            && (decoder == null
+                || decodeOrder(one, count, immediate) < decodeOrder(decoder, count, immediate))) {
+          decoder = one;
         }
       }
-      if (writer == null || able.size() < count) {
+      if (decoder == null || eligible.size() < count) {
         return null;
       }
-      List<EngineCandidate> chosen = new ArrayList<>(List.of(writer));
-      List<EngineCandidate> others = new ArrayList<>(able);
-      others.remove(writer);
-      others.sort((a, b) -> Double.compare(reading(a, count, atOnce), reading(b, count, atOnce)));
+      List<EngineCandidate> chosen = new ArrayList<>(List.of(decoder));
+      List<EngineCandidate> others = new ArrayList<>(eligible);
+      others.remove(decoder);
+      others.sort(
+          (a, b) ->
+              Double.compare(prefillOrder(a, count, immediate), prefillOrder(b, count, immediate)));
       chosen.addAll(others.subList(0, count - 1));
-      double latest =
-          chosen.stream().mapToDouble(one -> firstMs(one, count, atOnce)).max().orElse(0);
-      double harm = chosen.stream().mapToDouble(one -> harm(one, count, atOnce)).sum();
-      return new Plan(chosen, latest, harm + lateness(latest) + WEIGHTS.perEngine() * (count - 1));
+      double latestMs =
+          chosen.stream().mapToDouble(one -> firstTokenMs(one, count, immediate)).max().orElse(0);
+      double harm = chosen.stream().mapToDouble(one -> harm(one, count, immediate)).sum();
+      return new Plan(
+          chosen, latestMs, harm + lateness(latestMs) + WEIGHTS.engineCost() * (count - 1));
     }
 
-    private double writing(EngineCandidate one, int count, boolean atOnce) {
-      return alone(one, count, atOnce) + costs.ofWriting(facts, one, count);
+    private double decodeOrder(EngineCandidate one, int count, boolean immediate) {
+      return optionCost(one, count, immediate) + costs.decoderCost(facts, one, count);
     }
 
-    private double reading(EngineCandidate one, int count, boolean atOnce) {
-      return alone(one, count, atOnce) + costs.ofReadingBeside(one);
+    private double prefillOrder(EngineCandidate one, int count, boolean immediate) {
+      return optionCost(one, count, immediate) + costs.mixedPrefillCost(one);
     }
 
-    private double alone(EngineCandidate one, int count, boolean atOnce) {
-      return harm(one, count, atOnce) + lateness(firstMs(one, count, atOnce));
+    private double optionCost(EngineCandidate one, int count, boolean immediate) {
+      return harm(one, count, immediate) + lateness(firstTokenMs(one, count, immediate));
     }
 
-    private double lateness(double firstMs) {
-      return costs.lateness(facts, query.nowMs() - facts.arrivedMs() + firstMs);
+    private double lateness(double firstTokenMs) {
+      return costs.latenessCost(facts, query.nowMs() - facts.arrivedMs() + firstTokenMs);
     }
 
-    private double harm(EngineCandidate one, int count, boolean atOnce) {
-      EngineOutlook.Amount part = part(one, count);
-      boolean before = count > 1 && atOnce;
-      return costs.harmToWriting(one.outlook(), part)
-          + costs.harmToUnread(one.outlook(), part.ms(), count, before)
-          + costs.ofOrder(facts, one);
+    private double harm(EngineCandidate one, int count, boolean immediate) {
+      EngineForecast.PrefillWork segment = segment(one, count);
+      boolean beforeOthers = count > 1 && immediate;
+      return costs.decodeHarm(one.forecast(), segment)
+          + costs.prefillHarm(one.forecast(), segment.ms(), count, beforeOthers)
+          + costs.orderCost(facts, one);
     }
 
-    private double firstMs(EngineCandidate one, int count, boolean atOnce) {
-      EngineOutlook.Amount part = part(one, count);
-      double several = atOnce ? one.outlook().sharedMs(part) : one.outlook().afterOthersMs(part);
-      return (count == 1 ? one.outlook().aloneMs(part) : several) + one.zoneMs();
+    private double firstTokenMs(EngineCandidate one, int count, boolean immediate) {
+      EngineForecast.PrefillWork segment = segment(one, count);
+      double sharedMs =
+          immediate ? one.forecast().sharedMs(segment) : one.forecast().deferredMs(segment);
+      return (count == 1 ? one.forecast().singleEngineMs(segment) : sharedMs) + one.zonePenaltyMs();
     }
 
-    private EngineOutlook.Amount part(EngineCandidate one, int count) {
-      double ms = one.profile().readMs(facts.promptTokens()) / count * one.outlook().slowness();
-      return new EngineOutlook.Amount(ms, roundedUp(facts.promptTokens(), count));
+    private EngineForecast.PrefillWork segment(EngineCandidate one, int count) {
+      double ms = one.profile().readMs(facts.promptTokens()) / count * one.forecast().slowness();
+      return new EngineForecast.PrefillWork(ms, roundedUp(facts.promptTokens(), count));
     }
 
     private static long roundedUp(long tokens, int count) {
