--- a/org.fawndrum/src/org/fawndrum/coordination/membership/FleetMember.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/FleetMember.java
@@ -10,6 +10,6 @@
  * @param identity its host and incarnation
  * @param address where other daemons reach it
  * @param zone its availability zone
- * @param capacity how much it can pass on for others; only compared, larger is more
+ * @param capacity its capacity for forwarding reports of others; only compared, larger is more
  */
 public record FleetMember(HostIdentity identity, HostAddress address, String zone, long capacity) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/FleetOverlay.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/FleetOverlay.java
@@ -12,123 +12,130 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * Which daemons are alive, and with which of them this one exchanges reports, so that each report
- * reaches all daemons without each daemon talking to all others.
+ * Maintains which daemons are alive, and with which of them this daemon exchanges reports, so that
+ * each report reaches all daemons without a connection between every two of them.
  *
- * <p>In each zone the living daemon with the largest capacity is the speaker. The other daemons of
- * the zone subscribe to it; it passes their reports on to its subscribers and to the speakers of
- * other zones. There is no vote: daemons with different views may use different speakers for a
- * while, and whoever has subscribers passes on. A report that comes a second time is passed over,
- * and so is one of an incarnation before the one that is alive, so that no report runs in circles.
- * A message from a daemon itself is believed in any case: its clock may have gone back.
+ * <p>In each zone, the living daemon with the largest capacity is the zone leader. The other
+ * daemons of the zone subscribe to it, and it forwards their reports to its subscribers and to the
+ * leaders of other zones. There is no election: daemons with different views may use different
+ * leaders for a while, and every daemon with subscribers forwards reports. Duplicate reports and
+ * reports of an earlier incarnation than the living one are dropped, so no report circulates. A
+ * message from a daemon itself is always accepted, because its clock may have been set back.
  *
  * <p>Confined to one thread. Times are those of the host's clock, in milliseconds.
  */
 public final class FleetOverlay {
-  /** A daemon that was silent for so long counts as gone, in milliseconds: three heartbeats. */
+  /** Silence after which a daemon counts as gone, in milliseconds: three heartbeats. */
   static final long GONE_MS = 3_500;
 
   /** How long the address of a silent daemon is kept, in milliseconds. */
   static final long FORGET_MS = 60_000;
 
   /**
-   * When nothing was heard of any daemon of a zone for so long, the zone is silent, in
-   * milliseconds: a heartbeat, and twice the time for which speakers gather.
+   * Silence of all daemons of a zone after which the zone counts as silent, in milliseconds: a
+   * heartbeat, plus twice the time for which zone leaders batch reports.
    */
   static final long SILENT_ZONE_MS = 2_000;
 
   private final FleetMember self;
   private final Watcher watcher;
-  private final Map<String, KnownDaemon> known = new HashMap<>();
-  private final LinkChoice links;
+  private final Map<String, DaemonState> daemons = new HashMap<>();
+  private final LinkSelector links;
 
-  /** Learns which daemons come and go. Called on the overlay's thread, from within its methods. */
+  /**
+   * Notified of daemons that appear or are gone. Called on the overlay's thread, from within its
+   * methods.
+   */
   public interface Watcher {
-    /** A daemon was heard that was not alive before. */
+    /** Called when a daemon sends a sign of life and was not alive before. */
     void appeared(FleetMember member);
 
-    /** A daemon counts as gone: it was silent for too long, or another took its place. */
+    /**
+     * Called when a daemon counts as gone: it was silent for too long, or was replaced by another
+     * incarnation.
+     */
     void gone(FleetMember member, long silentMs);
   }
 
-  /** Makes the overlay of a daemon that has heard nobody yet. */
+  /** Creates the overlay of a daemon that has not received anything yet. */
   public FleetOverlay(FleetMember self, Watcher watcher) {
     this.self = self;
     this.watcher = watcher;
-    this.links = new LinkChoice(self, known);
+    this.links = new LinkSelector(self, daemons);
   }
 
-  /** Takes note of a message that came from a daemon itself. */
+  /** Records a message that came from a daemon itself. */
   public void heardDirectly(FleetMember member, boolean subscribes, long nowMs) {
     if (isSelf(member.identity())) {
       return;
     }
-    heard(member, nowMs);
-    KnownDaemon one = known.get(member.identity().host());
-    one.heardDirectly(nowMs);
+    markAlive(member, nowMs);
+    DaemonState daemon = daemons.get(member.identity().host());
+    daemon.markMessage(nowMs);
     if (subscribes) {
-      if (!one.isSubscriber(nowMs)) {
-        links.drop();
+      if (!daemon.isSubscriber(nowMs)) {
+        links.invalidate();
       }
-      one.subscribed(nowMs);
+      daemon.markSubscribed(nowMs);
     }
   }
 
   /**
-   * Takes a report; a whole one is a sign of life.
+   * Accepts or drops a report; a complete one counts as a sign of life.
    *
-   * @return whether it is to be used and passed on: it is of a known incarnation of another daemon
-   *     and newer than all before
+   * @return whether it is to be used and forwarded: it is of a known incarnation of another daemon
+   *     and newer than all its reports before
    */
   public boolean take(FleetReport report, long nowMs) {
-    KnownDaemon one = known.get(report.from().host());
-    if (isSelf(report.from()) || one != null && one.isNewerThan(report.from())) {
+    DaemonState daemon = daemons.get(report.from().host());
+    if (isSelf(report.from()) || daemon != null && daemon.isNewerThan(report.from())) {
       return false;
     }
-    boolean same = one != null && one.isAlive(report.from());
-    boolean old = same && report.sequence() <= one.lastSequence();
-    if (old || !same && report.member().isEmpty()) {
+    boolean sameIncarnation = daemon != null && daemon.isAlive(report.from());
+    boolean outdated = sameIncarnation && report.sequence() <= daemon.lastSequence();
+    if (outdated || !sameIncarnation && report.member().isEmpty()) {
       return false;
     }
-    report.member().ifPresent(member -> heard(member, nowMs));
-    known.get(report.from().host()).reported(report.sequence());
+    report.member().ifPresent(member -> markAlive(member, nowMs));
+    daemons.get(report.from().host()).setLastSequence(report.sequence());
     return true;
   }
 
-  private void heard(FleetMember member, long nowMs) {
-    KnownDaemon one = known.computeIfAbsent(member.identity().host(), host -> new KnownDaemon());
-    boolean same = one.isAlive(member.identity());
-    if (one.isAlive() && !same) {
-      watcher.gone(one.member(), one.silentMs(nowMs));
+  private void markAlive(FleetMember member, long nowMs) {
+    DaemonState daemon =
+        daemons.computeIfAbsent(member.identity().host(), host -> new DaemonState());
+    boolean sameIncarnation = daemon.isAlive(member.identity());
+    if (daemon.isAlive() && !sameIncarnation) {
+      watcher.gone(daemon.member(), daemon.silentMs(nowMs));
     }
-    one.heard(member, nowMs);
-    if (!same) {
-      links.drop();
+    daemon.markAlive(member, nowMs);
+    if (!sameIncarnation) {
+      links.invalidate();
       watcher.appeared(member);
     }
   }
 
-  /** Takes note of daemons that another one says are alive. */
+  /** Adds daemons that another daemon lists as alive. */
   public void learn(Collection<FleetMember> members, long nowMs) {
     for (FleetMember member : members) {
-      KnownDaemon one = known.get(member.identity().host());
-      boolean unknown = one == null || !one.isAlive();
-      if (unknown && !isSelf(member.identity())) {
-        heard(member, nowMs);
+      DaemonState daemon = daemons.get(member.identity().host());
+      boolean notAlive = daemon == null || !daemon.isAlive();
+      if (notAlive && !isSelf(member.identity())) {
+        markAlive(member, nowMs);
       }
     }
   }
 
-  /** Drops daemons that were silent for too long. */
+  /** Removes daemons that were silent for too long. */
   public void forget(long nowMs) {
-    Iterator<KnownDaemon> all = known.values().iterator();
+    Iterator<DaemonState> all = daemons.values().iterator();
     while (all.hasNext()) {
-      KnownDaemon one = all.next();
-      long silentMs = one.silentMs(nowMs);
-      if (one.isAlive() && silentMs > GONE_MS) {
-        one.gone();
-        links.drop();
-        watcher.gone(one.member(), silentMs);
+      DaemonState daemon = all.next();
+      long silentMs = daemon.silentMs(nowMs);
+      if (daemon.isAlive() && silentMs > GONE_MS) {
+        daemon.markGone();
+        links.invalidate();
+        watcher.gone(daemon.member(), silentMs);
       }
       if (silentMs > FORGET_MS) {
         all.remove();
@@ -136,27 +143,33 @@
     }
   }
 
-  /** Returns the daemon that passes this one's reports on: itself, if no better one answers. */
+  /** Returns the daemon that forwards this one's reports: itself if no better one answers. */
   public FleetMember speaker(long nowMs) {
-    return links.at(nowMs).speaker();
+    return links.linksAt(nowMs).leader();
   }
 
-  /** Tells whether this daemon passes reports of others on. */
+  /** Returns whether this daemon forwards the reports of others. */
   public boolean passesOn(long nowMs) {
-    return links.at(nowMs).passesOn();
+    return links.linksAt(nowMs).forwards();
   }
 
-  /** Returns the daemons of the own zone that get this one's messages. */
+  /** Returns the daemons of the own zone that receive this one's messages. */
   public List<FleetMember> near(long nowMs) {
-    return links.at(nowMs).near();
+    return links.linksAt(nowMs).sameZone();
   }
 
-  /** Returns the daemons of other zones that get this one's messages; none if it passes none on. */
+  /**
+   * Returns the daemons of other zones that receive this one's messages; empty if it does not
+   * forward.
+   */
   public List<FleetMember> far(long nowMs) {
-    return links.at(nowMs).far();
+    return links.linksAt(nowMs).otherZones();
   }
 
-  /** Tells whether a subscriber of another zone should rather subscribe to one of its own. */
+  /**
+   * Returns whether a subscriber of another zone should subscribe to a leader of its own zone
+   * instead.
+   */
   public boolean knowsBetter(FleetMember subscriber, long nowMs) {
     FleetMember best = links.best(subscriber.zone(), nowMs);
     return !subscriber.zone().equals(self.zone())
@@ -164,40 +177,43 @@
         && !best.identity().equals(subscriber.identity());
   }
 
-  /** Tells whether this incarnation of another daemon is alive. */
+  /** Returns whether this incarnation of another daemon is alive. */
   public boolean isAlive(FleetMember member) {
-    KnownDaemon one = known.get(member.identity().host());
-    return one != null && one.isAlive(member.identity());
+    DaemonState daemon = daemons.get(member.identity().host());
+    return daemon != null && daemon.isAlive(member.identity());
   }
 
   /** Returns the other daemons that are alive. */
   public List<FleetMember> alive() {
-    return known.values().stream().filter(KnownDaemon::isAlive).map(KnownDaemon::member).toList();
+    return daemons.values().stream().filter(DaemonState::isAlive).map(DaemonState::member).toList();
   }
 
-  /** Returns the other availability zones that have daemons and from which none is heard. */
+  /**
+   * Returns the other availability zones that have daemons, none of which sent a recent sign of
+   * life.
+   */
   public Set<String> silentZones(long nowMs) {
     Set<String> silent = new HashSet<>();
-    Set<String> heard = new HashSet<>();
-    heard.add(self.zone());
-    for (KnownDaemon one : known.values()) {
-      boolean lately = one.silentMs(nowMs) <= SILENT_ZONE_MS;
-      (lately ? heard : silent).add(one.member().zone());
+    Set<String> reporting = new HashSet<>();
+    reporting.add(self.zone());
+    for (DaemonState daemon : daemons.values()) {
+      boolean recent = daemon.silentMs(nowMs) <= SILENT_ZONE_MS;
+      (recent ? reporting : silent).add(daemon.member().zone());
     }
-    silent.removeAll(heard);
+    silent.removeAll(reporting);
     return Set.copyOf(silent);
   }
 
-  /** Tells whether all daemons that are known were heard lately. */
+  /** Returns whether all known daemons sent a recent sign of life. */
   public boolean hearsAll(long nowMs) {
-    return known.values().stream().allMatch(one -> one.silentMs(nowMs) <= SILENT_ZONE_MS);
+    return daemons.values().stream().allMatch(daemon -> daemon.silentMs(nowMs) <= SILENT_ZONE_MS);
   }
 
-  /** Returns where daemons were that are silent now, and so may come back. */
+  /** Returns the addresses of daemons that are silent now and may come back. */
   public List<HostAddress> silent() {
-    return known.values().stream()
-        .filter(one -> !one.isAlive())
-        .map(one -> one.member().address())
+    return daemons.values().stream()
+        .filter(daemon -> !daemon.isAlive())
+        .map(daemon -> daemon.member().address())
         .toList();
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/FleetReport.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/FleetReport.java
@@ -7,14 +7,14 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * What one daemon reports about its work at endpoints.
+ * A report of one daemon about its jobs at endpoints.
  *
  * @param from the daemon that the report is about
- * @param member how the daemon describes itself; present when the report is whole
- * @param sequence grows with each report of one incarnation
- * @param zone the zone of the endpoints that the news are about, or {@link #EVERYWHERE}
- * @param whole whether the news name all work of the daemon
- * @param news the news, in an order in which each can be understood
+ * @param member the daemon's description of itself; present if the report is complete
+ * @param sequence increases with each report of an incarnation
+ * @param zone the zone of the endpoints that the updates are about, or {@link #EVERYWHERE}
+ * @param complete whether the updates list all jobs of the daemon
+ * @param updates the updates, in an order in which each can be applied
  */
 public record FleetReport(
     HostIdentity from,
@@ -23,15 +23,15 @@
     String zone,
     boolean whole,
     List<EngineNews> news) {
-  /** In place of a zone: the endpoints may be anywhere. */
+  /** Used instead of a zone if the endpoints may be in any zone. */
   public static final String EVERYWHERE = "";
 
-  /** Copies the list, so that the report cannot change. */
+  /** Copies the list to make the report immutable. */
   public FleetReport {
     news = List.copyOf(news);
   }
 
-  /** Tells whether daemons of a zone should know of the news as soon as they come. */
+  /** Returns whether daemons of a zone should receive the updates without delay. */
   public boolean concerns(String daemonsZone) {
     return zone.equals(EVERYWHERE) || zone.equals(daemonsZone);
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/PeerFacts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/PeerFacts.java
@@ -5,18 +5,18 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * What a heartbeat says of its sender.
+ * The content of a heartbeat.
  *
  * @param identity the sender's incarnation
  * @param zone its availability zone
  * @param address where it listens for peers
- * @param sequence grows with each heartbeat of the incarnation
+ * @param sequence increases with each heartbeat of the incarnation
  * @param tableRevision the table revision in force there
  * @param tablePosition the log position replayed there
  * @param listingVersion the version of the host list there
- * @param draining whether it is being stopped
- * @param waitingTokens work that waits there, in tokens
- * @param runningRequests requests in progress there
+ * @param draining whether it is shutting down
+ * @param waitingTokens the tokens of the requests that wait there
+ * @param runningRequests the number of requests in progress there
  */
 public record PeerFacts(
     HostIdentity identity,
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneDuties.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneDuties.java
@@ -4,9 +4,9 @@
 import java.util.Collection;
 
 /**
- * Shares duties out among the living daemons of a zone without a vote, by highest random weight:
- * when a daemon comes or goes, only its own duties move. Two daemons with different views may both
- * do a duty for a while, so that duties must be harmless when done twice.
+ * Assigns tasks to the living daemons of a zone without an election, by rendezvous hashing: when a
+ * daemon comes or goes, only its own tasks move. Two daemons with different views may both perform
+ * a task for a while, so tasks must be idempotent.
  */
 public final class ZoneDuties {
   private static final long MIX_ONE = 0xbf58476d1ce4e5b9L;
@@ -15,26 +15,26 @@
   private ZoneDuties() {}
 
   /**
-   * Tells whether a duty is a host's own.
+   * Returns whether a task is assigned to a host.
    *
-   * @param duty the duty's name, such as an endpoint's
+   * @param task the task's name, such as that of an endpoint
    * @param self the host
    * @param others the other living daemons of the zone
    */
-  public static boolean mine(String duty, String self, Collection<String> others) {
-    long own = weight(duty, self);
+  public static boolean mine(String task, String self, Collection<String> others) {
+    long ownWeight = weight(task, self);
     for (String other : others) {
-      long weight = weight(duty, other);
-      if (weight > own || weight == own && other.compareTo(self) < 0) {
+      long weight = weight(task, other);
+      if (weight > ownWeight || weight == ownWeight && other.compareTo(self) < 0) {
         return false;
       }
     }
     return true;
   }
 
-  /** Mixes both names as the finalizer of SplitMix64 does. */
-  private static long weight(String duty, String host) {
-    long mixed = duty.hashCode() * 31L * 0x9e3779b97f4a7c15L + host.hashCode();
+  /** Hashes both names with the finalizer of SplitMix64. */
+  private static long weight(String task, String host) {
+    long mixed = task.hashCode() * 31L * 0x9e3779b97f4a7c15L + host.hashCode();
     mixed = (mixed ^ mixed >>> 30) * MIX_ONE;
     mixed = (mixed ^ mixed >>> 27) * MIX_TWO;
     return mixed ^ mixed >>> 31;
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneMembership.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneMembership.java
@@ -15,10 +15,10 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * What one host knows of the other daemons. Every daemon of a zone tells every other of the zone
- * that it lives; one daemon of a zone, the speaker, tells one of each other zone the zone's sums.
- * Nobody votes: who is suspected is each host's own view, and safety never depends on it. Confined
- * to one thread; reads no clock.
+ * The other daemons as one host sees them. Every daemon of a zone sends heartbeats to all others of
+ * the zone; one daemon of a zone, the zone leader, sends them to one daemon of each other zone.
+ * There is no agreement: each host suspects daemons by its own view, and safety does not depend on
+ * it. Confined to one thread; reads no clock.
  */
 public final class ZoneMembership {
   private final HostIdentity self;
@@ -29,32 +29,32 @@
   private final List<HostAddress> seeds;
   private long nextInZoneMs = Long.MIN_VALUE;
   private long nextOtherZonesMs = Long.MIN_VALUE;
-  private int turn;
+  private int rotation;
 
   /** Another daemon. */
   private static final class Peer {
     PeerFacts facts;
-    long heardMs;
+    long lastHeartbeatMs;
     boolean suspected;
   }
 
-  /** What changed with one heartbeat or one tick. */
+  /** The effect of one heartbeat or one tick. */
   public enum Change {
     /** Nothing that others need to know. */
     NONE,
-    /** A daemon is alive that was not before, or is a new incarnation. */
+    /** A daemon is alive that was not alive before, or is a new incarnation. */
     ALIVE,
     /** A daemon is suspected. */
     SUSPECTED
   }
 
-  /** A change and whom it concerns. */
+  /** A change and the daemon that it is about. */
   public record Changed(Change change, HostIdentity identity, long silentMs) {}
 
   /**
-   * Makes the membership of a host that has just started.
+   * Creates the membership of a host that has just started.
    *
-   * @param seeds addresses to try before the platform's list is known
+   * @param seeds addresses to contact before the platform's list is known
    */
   public ZoneMembership(
       HostIdentity self, String zone, MembershipSettings settings, List<HostAddress> seeds) {
@@ -64,7 +64,7 @@
     this.seeds = List.copyOf(seeds);
   }
 
-  /** Takes over the entry hosts that the platform lists. */
+  /** Replaces the entry hosts that the platform lists. */
   public void listed(List<EntryHost> entryHosts) {
     listed.clear();
     for (EntryHost host : entryHosts) {
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Takes a heartbeat. One of an earlier incarnation, or older than the last one heard, is passed
-   * over.
+   * Records a heartbeat. Drops it if it is of an earlier incarnation, or not newer than the last
+   * one received.
    */
   public Change heard(PeerFacts facts, long nowMs) {
     String host = facts.identity().host();
@@ -84,56 +84,59 @@
       return Change.NONE;
     }
     Peer peer = peers.get(host);
-    if (peer != null && isOld(facts, peer.facts)) {
+    if (peer != null && isOutdated(facts, peer.facts)) {
       return Change.NONE;
     }
     boolean isNew =
         peer == null || peer.suspected || !peer.facts.identity().equals(facts.identity());
-    Peer known = peers.computeIfAbsent(host, name -> new Peer());
-    known.facts = facts;
-    known.heardMs = nowMs;
-    known.suspected = false;
+    Peer current = peers.computeIfAbsent(host, name -> new Peer());
+    current.facts = facts;
+    current.lastHeartbeatMs = nowMs;
+    current.suspected = false;
     return isNew ? Change.ALIVE : Change.NONE;
   }
 
-  private static boolean isOld(PeerFacts facts, PeerFacts known) {
+  private static boolean isOutdated(PeerFacts facts, PeerFacts current) {
     long incarnation = facts.identity().incarnation();
-    long knownIncarnation = known.identity().incarnation();
-    return incarnation < knownIncarnation
-        || incarnation == knownIncarnation && facts.sequence() <= known.sequence();
+    long currentIncarnation = current.identity().incarnation();
+    return incarnation < currentIncarnation
+        || incarnation == currentIncarnation && facts.sequence() <= current.sequence();
   }
 
-  /** Returns whom to suspect now. */
+  /**
+   * Marks silent daemons as suspected and removes those that were silent for too long; returns the
+   * newly suspected ones.
+   */
   public List<Changed> suspects(long nowMs) {
     List<Changed> changed = new ArrayList<>();
     long suspectMs = suspectAfterMs();
     for (Peer peer : peers.values()) {
       boolean inZone = peer.facts.zone().equals(zone);
-      long silentMs = nowMs - peer.heardMs;
-      long limitMs = inZone ? suspectMs : settings.otherZoneMs() * settings.suspectAfter();
+      long silentMs = nowMs - peer.lastHeartbeatMs;
+      long limitMs = inZone ? suspectMs : settings.otherZoneMs() * settings.suspectAfterIntervals();
       if (!peer.suspected && silentMs > limitMs) {
         peer.suspected = true;
         changed.add(new Changed(Change.SUSPECTED, peer.facts.identity(), silentMs));
       }
     }
-    peers.values().removeIf(peer -> nowMs - peer.heardMs > settings.forgetMs());
+    peers.values().removeIf(peer -> nowMs - peer.lastHeartbeatMs > settings.forgetMs());
     return changed;
   }
 
-  /** Returns after how long a silent daemon of the zone is suspected, in milliseconds. */
+  /** Returns the silence after which a daemon of the zone is suspected, in milliseconds. */
   public long suspectAfterMs() {
-    return settings.intervalMs(zoneSize()) * settings.suspectAfter();
+    return settings.intervalMs(zoneSize()) * settings.suspectAfterIntervals();
   }
 
   private int zoneSize() {
-    int known = 1;
+    int size = 1;
     for (Peer peer : peers.values()) {
-      known += peer.facts.zone().equals(zone) ? 1 : 0;
+      size += peer.facts.zone().equals(zone) ? 1 : 0;
     }
-    return known;
+    return size;
   }
 
-  /** Returns whom to send a heartbeat now; empty most of the time. */
+  /** Returns the addresses to which a heartbeat is due now; empty most of the time. */
   public Set<HostAddress> dueNow(long nowMs) {
     Set<HostAddress> due = new HashSet<>();
     if (nowMs >= nextInZoneMs) {
@@ -143,7 +146,7 @@
     if (nowMs >= nextOtherZonesMs) {
       nextOtherZonesMs = nowMs + settings.otherZoneMs();
       if (speaker().equals(self)) {
-        due.addAll(oneOfEachOtherZone());
+        due.addAll(otherZoneAddresses());
       }
     }
     return due;
@@ -167,7 +170,7 @@
     return addresses;
   }
 
-  private Set<HostAddress> oneOfEachOtherZone() {
+  private Set<HostAddress> otherZoneAddresses() {
     Map<String, List<HostAddress>> byZone = new TreeMap<>();
     for (EntryHost host : listed.values()) {
       if (!host.zone().equals(zone)) {
@@ -175,20 +178,23 @@
       }
     }
     for (Peer peer : peers.values()) {
-      boolean other = !peer.facts.zone().equals(zone);
-      if (other && !listed.containsKey(peer.facts.identity().host())) {
+      boolean otherZone = !peer.facts.zone().equals(zone);
+      if (otherZone && !listed.containsKey(peer.facts.identity().host())) {
         byZone
             .computeIfAbsent(peer.facts.zone(), name -> new ArrayList<>())
             .add(peer.facts.address());
       }
     }
-    turn++;
+    rotation++;
     Set<HostAddress> chosen = new HashSet<>();
-    byZone.values().forEach(hosts -> chosen.add(hosts.get(Math.floorMod(turn, hosts.size()))));
+    byZone.values().forEach(hosts -> chosen.add(hosts.get(Math.floorMod(rotation, hosts.size()))));
     return chosen;
   }
 
-  /** Returns the living daemon of the zone with the lowest name: it speaks to other zones. */
+  /**
+   * Returns the living daemon of the zone with the lowest name, which sends heartbeats to other
+   * zones.
+   */
   public HostIdentity speaker() {
     return peers.values().stream()
         .filter(peer -> !peer.suspected && peer.facts.zone().equals(zone))
@@ -198,7 +204,7 @@
         .orElse(self);
   }
 
-  /** Returns the living daemons of the zone, this host left out. */
+  /** Returns the living daemons of the zone except this host. */
   public List<PeerFacts> livingInZone() {
     return peers.values().stream()
         .filter(peer -> !peer.suspected && peer.facts.zone().equals(zone))
@@ -206,7 +212,10 @@
         .toList();
   }
 
-  /** Returns a living daemon that has a newer table or host list, preferring the own zone. */
+  /**
+   * Returns a living daemon with a newer table or host list, preferably of the own zone; empty if
+   * there is none.
+   */
   public Optional<PeerFacts> ahead(long tablePosition, long listingVersion) {
     return peers.values().stream()
         .filter(peer -> !peer.suspected)
@@ -220,10 +229,10 @@
                 .thenComparingLong(PeerFacts::listingVersion));
   }
 
-  /** Returns every other daemon known, by name. */
+  /** Returns all other known daemons, sorted by name. */
   public List<PeerView> peers() {
     return peers.values().stream()
-        .map(peer -> new PeerView(peer.facts, peer.heardMs, !peer.suspected))
+        .map(peer -> new PeerView(peer.facts, peer.lastHeartbeatMs, !peer.suspected))
         .sorted(Comparator.comparing(view -> view.facts().identity().host()))
         .toList();
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/package-info.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/package-info.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * Who is alive: heartbeats within an availability zone, sums between zones, catching up; and, for
- * daemons on the platform, through which speakers their reports reach all others.
+ * Membership: heartbeats within an availability zone and between zones, and catching up with newer
+ * peers; and, for daemons on the platform, the overlay of zone leaders that distributes their
+ * reports.
  */
 package org.fawndrum.coordination.membership;
--- a/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetOverlayTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetOverlayTest.java
@@ -13,23 +13,23 @@
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
-/** Who is alive, who speaks for a zone, and which reports are news. */
+/** Which daemons are alive, which one leads a zone, and which reports are new. */
 class FleetOverlayTest {
-  private final List<String> seen = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
   private final FleetMember self = member("a-2", 1, "a", 20);
-  private final FleetOverlay overlay = new FleetOverlay(self, new Watch());
+  private final FleetOverlay overlay = new FleetOverlay(self, new RecordingWatcher());
 
-  /** Writes down who comes and goes. */
-  private final class Watch implements FleetOverlay.Watcher {
+  /** Records which daemons appear and are gone. */
+  private final class RecordingWatcher implements FleetOverlay.Watcher {
     @Override
     public void appeared(FleetMember member) {
-      seen.add("+" + member.identity().host() + "/" + member.identity().incarnation());
+      events.add("+" + member.identity().host() + "/" + member.identity().incarnation());
     }
 
     @Override
     public void gone(FleetMember member, long silentMs) {
       HostIdentity who = member.identity();
-      seen.add("-" + who.host() + "/" + who.incarnation() + " " + silentMs);
+      events.add("-" + who.host() + "/" + who.incarnation() + " " + silentMs);
     }
   }
 
@@ -38,27 +38,27 @@
     return new FleetMember(identity, new HostAddress(host, 7), zone, capacity);
   }
 
-  private static FleetReport whole(FleetMember of, long sequence) {
+  private static FleetReport complete(FleetMember of, long sequence) {
     return new FleetReport(
         of.identity(), Optional.of(of), sequence, FleetReport.EVERYWHERE, true, List.of());
   }
 
-  private static FleetReport part(FleetMember of, long sequence) {
+  private static FleetReport partial(FleetMember of, long sequence) {
     return new FleetReport(
         of.identity(), Optional.empty(), sequence, FleetReport.EVERYWHERE, false, List.of());
   }
 
   @Test
-  void aNewIncarnationTakesThePlaceOfTheOneBefore() {
+  void newIncarnationReplacesThePreviousOne() {
     overlay.heardDirectly(member("a-3", 1, "a", 1), true, 0);
     overlay.heardDirectly(member("a-3", 2, "a", 1), true, 10);
-    assertEquals(List.of("+a-3/1", "-a-3/1 10", "+a-3/2"), seen);
+    assertEquals(List.of("+a-3/1", "-a-3/1 10", "+a-3/2"), events);
     assertEquals(List.of(member("a-3", 2, "a", 1)), overlay.alive());
   }
 
-  /** What a host saw of endpoints counts for more while some other is not heard. */
+  /** While a host is not reporting, more crashes are required as evidence against a request. */
   @Test
-  void allAreHeardAgainOnceOneHasStartedAnew() {
+  void allHostsReportAgainAfterARestart() {
     overlay.heardDirectly(member("a-3", 1, "a", 1), true, 0);
     assertTrue(overlay.hearsAll(1_000));
     assertFalse(overlay.hearsAll(5_000));
@@ -67,22 +67,22 @@
   }
 
   @Test
-  void aLateReportOfTheIncarnationBeforeIsNoNews() {
+  void lateReportOfThePreviousIncarnationIsDropped() {
     FleetMember before = member("a-3", 1, "a", 1);
     FleetMember now = member("a-3", 2, "a", 1);
-    assertTrue(overlay.take(whole(before, 30), 0));
-    assertTrue(overlay.take(whole(now, 1), 10));
-    assertFalse(overlay.take(whole(before, 31), 20));
-    assertFalse(overlay.take(whole(now, 1), 30));
+    assertTrue(overlay.take(complete(before, 30), 0));
+    assertTrue(overlay.take(complete(now, 1), 10));
+    assertFalse(overlay.take(complete(before, 31), 20));
+    assertFalse(overlay.take(complete(now, 1), 30));
     assertEquals(List.of(now), overlay.alive());
   }
 
-  /** Two speakers that passed such reports to each other did so for ever. */
+  /** Guards against two zone leaders that forwarded such reports to each other forever. */
   @Test
-  void reportsOfTwoIncarnationsDoNotRunInCircles() {
-    FleetOverlay other = new FleetOverlay(member("b-1", 1, "b", 20), new Watch());
+  void reportsOfTwoIncarnationsDoNotCirculate() {
+    FleetOverlay other = new FleetOverlay(member("b-1", 1, "b", 20), new RecordingWatcher());
     List<FleetReport> passed =
-        List.of(whole(member("a-3", 1, "a", 1), 30), whole(member("a-3", 2, "a", 1), 1));
+        List.of(complete(member("a-3", 1, "a", 1), 30), complete(member("a-3", 2, "a", 1), 1));
     int hops = 0;
     while (!passed.isEmpty() && hops < 100) {
       FleetOverlay next = hops % 2 == 0 ? overlay : other;
@@ -93,32 +93,32 @@
   }
 
   @Test
-  void aHostThatStartsAfterItsClockWentBackIsHeardFromItself() {
+  void directMessageOfAnEarlierIncarnationIsAccepted() {
     overlay.heardDirectly(member("a-3", 9, "a", 1), true, 0);
     overlay.heardDirectly(member("a-3", 4, "a", 1), true, 10);
     assertEquals(List.of(member("a-3", 4, "a", 1)), overlay.alive());
   }
 
   @Test
-  void aZoneIsSilentWhenNoDaemonOfItIsHeard() {
+  void zoneIsSilentIfNoneOfItsDaemonsReports() {
     overlay.heardDirectly(member("b-1", 1, "b", 1), false, 0);
     overlay.heardDirectly(member("b-2", 1, "b", 1), false, 1_500);
     overlay.heardDirectly(member("a-3", 1, "a", 1), false, 0);
     assertEquals(Set.of(), overlay.silentZones(3_500));
     assertEquals(Set.of("b"), overlay.silentZones(3_501));
-    assertTrue(overlay.take(whole(member("b-1", 1, "b", 1), 5), 4_000));
+    assertTrue(overlay.take(complete(member("b-1", 1, "b", 1), 5), 4_000));
     assertEquals(Set.of(), overlay.silentZones(4_001));
   }
 
   @Test
-  void aSilentDaemonIsGoneOnceAndItsAddressIsTriedForAMinute() {
+  void silentDaemonIsGoneOnceAndItsAddressIsKeptForAMinute() {
     FleetMember other = member("a-3", 1, "a", 1);
     overlay.heardDirectly(other, false, 0);
     overlay.forget(3_500);
-    assertEquals(List.of("+a-3/1"), seen);
+    assertEquals(List.of("+a-3/1"), events);
     overlay.forget(3_501);
     overlay.forget(4_501);
-    assertEquals(List.of("+a-3/1", "-a-3/1 3501"), seen);
+    assertEquals(List.of("+a-3/1", "-a-3/1 3501"), events);
     assertEquals(List.of(), overlay.alive());
     overlay.forget(60_000);
     assertEquals(List.of(other.address()), overlay.silent());
@@ -127,15 +127,15 @@
   }
 
   @Test
-  void itselfIsNotAnotherDaemon() {
+  void ownIdentityIsIgnored() {
     overlay.heardDirectly(self, true, 0);
     overlay.learn(List.of(self, member("a-3", 1, "a", 1)), 0);
-    assertFalse(overlay.take(whole(self, 9), 0));
+    assertFalse(overlay.take(complete(self, 9), 0));
     assertEquals(List.of(member("a-3", 1, "a", 1)), overlay.alive());
   }
 
   @Test
-  void theLargestOfTheZoneSpeaksAndTheNameDecidesBetweenEqualOnes() {
+  void zoneLeaderHasTheLargestCapacityThenTheLowestName() {
     assertEquals(self, overlay.speaker(0));
     FleetMember small = member("a-0", 1, "a", 10);
     FleetMember equal = member("a-1", 1, "a", 20);
@@ -147,40 +147,40 @@
   }
 
   @Test
-  void aSpeakerThatSendsNothingIsReplacedForAWhile() {
+  void silentZoneLeaderIsReplacedForAWhile() {
     FleetMember best = member("a-1", 1, "a", 200);
     overlay.learn(List.of(best), 0);
     assertEquals(best, overlay.speaker(0));
     overlay.heardDirectly(best, false, 1_000);
     assertEquals(best, overlay.speaker(2_200));
     assertEquals(self, overlay.speaker(2_201));
-    overlay.take(whole(best, 1), 6_000);
+    overlay.take(complete(best, 1), 6_000);
     assertEquals(self, overlay.speaker(7_200));
     assertEquals(best, overlay.speaker(7_201));
   }
 
   @Test
-  void aReportIsNewsOnce() {
+  void reportIsAcceptedOnce() {
     FleetMember other = member("a-3", 1, "a", 1);
-    assertFalse(overlay.take(part(other, 1), 0));
-    assertTrue(overlay.take(whole(other, 2), 0));
-    assertFalse(overlay.take(whole(other, 2), 0));
-    assertTrue(overlay.take(part(other, 3), 0));
-    assertFalse(overlay.take(part(other, 2), 0));
-    assertTrue(overlay.take(whole(member("a-3", 2, "a", 1), 1), 0));
+    assertFalse(overlay.take(partial(other, 1), 0));
+    assertTrue(overlay.take(complete(other, 2), 0));
+    assertFalse(overlay.take(complete(other, 2), 0));
+    assertTrue(overlay.take(partial(other, 3), 0));
+    assertFalse(overlay.take(partial(other, 2), 0));
+    assertTrue(overlay.take(complete(member("a-3", 2, "a", 1), 1), 0));
   }
 
   @Test
-  void aReportSeenBeforeIsNoSignOfLife() {
+  void duplicateReportIsNoSignOfLife() {
     FleetMember other = member("a-3", 1, "a", 1);
-    overlay.take(whole(other, 2), 0);
-    overlay.take(whole(other, 2), 3_000);
+    overlay.take(complete(other, 2), 0);
+    overlay.take(complete(other, 2), 3_000);
     overlay.forget(3_501);
     assertEquals(List.of(), overlay.alive());
   }
 
   @Test
-  void oneThatOnlySubscribesToAnotherSendsToItsSpeakerAlone() {
+  void subscriberSendsOnlyToItsZoneLeader() {
     FleetMember best = member("a-1", 1, "a", 200);
     FleetMember elsewhere = member("b-1", 1, "b", 200);
     overlay.learn(List.of(best, elsewhere, member("a-3", 1, "a", 1)), 0);
@@ -190,7 +190,7 @@
   }
 
   @Test
-  void aSpeakerSendsToItsSubscribersAndTheBestOfOtherZones() {
+  void zoneLeaderSendsToItsSubscribersAndTheBestOfOtherZones() {
     FleetMember subscriber = member("a-3", 1, "a", 1);
     FleetMember best = member("b-1", 1, "b", 200);
     FleetMember other = member("b-2", 1, "b", 20);
--- a/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetSpreadTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetSpreadTest.java
@@ -19,9 +19,10 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * A fleet of overlays that exchange reports without delay: whoever dies or is cut off, after the
- * overlays had time to notice, each report reaches all daemons that can be reached, each one takes
- * it once, and the number of messages grows with the daemons, not with their pairs.
+ * A fleet of overlays that exchange reports without delay. After daemons die or are cut off and the
+ * overlays have had time to notice, each report reaches all daemons that can be reached, each one
+ * accepts it once, and the number of messages is proportional to the number of daemons, not of
+ * their pairs.
  */
 class FleetSpreadTest {
   private static final int ZONES = 3;
@@ -30,15 +31,15 @@
 
   private final Map<String, Node> nodes = new LinkedHashMap<>();
   private final Set<String> dead = new HashSet<>();
-  private String cutZone;
+  private String partitionedZone;
   private long nowMs;
   private int messages;
 
-  /** One daemon: its overlay, and the reports that it took. */
+  /** One daemon: its overlay, and the reports that it accepted. */
   private final class Node implements FleetOverlay.Watcher {
     final FleetMember member;
     final FleetOverlay overlay;
-    final List<String> taken = new ArrayList<>();
+    final List<String> accepted = new ArrayList<>();
     long sequence;
 
     Node(FleetMember member) {
@@ -54,10 +55,10 @@
 
     void step(boolean heartbeat, FleetMember seed) {
       overlay.forget(nowMs);
-      FleetMember speaker = overlay.speaker(nowMs);
+      FleetMember leader = overlay.speaker(nowMs);
       if (heartbeat) {
         List<FleetMember> to = new ArrayList<>(overlay.far(nowMs));
-        to.add(speaker.equals(member) ? seed : speaker);
+        to.add(leader.equals(member) ? seed : leader);
         FleetReport all =
             new FleetReport(
                 member.identity(),
@@ -68,10 +69,10 @@
                 List.of());
         to.forEach(one -> send(this, one, true, List.of(all)));
         if (overlay.passesOn(nowMs)) {
-          passOn(List.of(all));
+          forward(List.of(all));
         }
       } else if (overlay.passesOn(nowMs)) {
-        passOn(List.of());
+        forward(List.of());
       }
     }
 
@@ -84,10 +85,10 @@
               FleetReport.EVERYWHERE,
               false,
               List.of());
-      passOn(List.of(report));
+      forward(List.of(report));
     }
 
-    void passOn(List<FleetReport> reports) {
+    void forward(List<FleetReport> reports) {
       List<FleetMember> to = new ArrayList<>(overlay.near(nowMs));
       to.addAll(overlay.far(nowMs));
       to.forEach(one -> send(this, one, false, reports));
@@ -96,10 +97,11 @@
     void receive(FleetMember from, boolean subscribes, List<FleetReport> reports) {
       boolean first = !overlay.alive().contains(from);
       overlay.heardDirectly(from, subscribes, nowMs);
-      List<FleetReport> fresh = reports.stream().filter(one -> overlay.take(one, nowMs)).toList();
-      fresh.forEach(one -> taken.add(one.from().host() + " " + one.sequence()));
-      if (!fresh.isEmpty() && overlay.passesOn(nowMs)) {
-        passOn(fresh);
+      List<FleetReport> newReports =
+          reports.stream().filter(one -> overlay.take(one, nowMs)).toList();
+      newReports.forEach(one -> accepted.add(one.from().host() + " " + one.sequence()));
+      if (!newReports.isEmpty() && overlay.passesOn(nowMs)) {
+        forward(newReports);
       }
       if (subscribes && (first || overlay.knowsBetter(from, nowMs)) && reachable(this, from)) {
         nodes.get(from.identity().host()).overlay.learn(overlay.alive(), nowMs);
@@ -108,9 +110,12 @@
   }
 
   private boolean reachable(Node from, FleetMember to) {
-    boolean cut =
-        cutZone != null && cutZone.equals(from.member.zone()) != cutZone.equals(to.zone());
-    return !cut && !dead.contains(to.identity().host()) && nodes.containsKey(to.identity().host());
+    boolean partitioned =
+        partitionedZone != null
+            && partitionedZone.equals(from.member.zone()) != partitionedZone.equals(to.zone());
+    return !partitioned
+        && !dead.contains(to.identity().host())
+        && nodes.containsKey(to.identity().host());
   }
 
   private void send(Node from, FleetMember to, boolean subscribes, List<FleetReport> reports) {
@@ -120,11 +125,11 @@
     }
   }
 
-  /** Starts a fleet; the tries of a property share this object. */
+  /** Starts a fleet; all tries of a property share this object. */
   private void start(int daemons, Random random) {
     nodes.clear();
     dead.clear();
-    cutZone = null;
+    partitionedZone = null;
     for (int i = 0; i < daemons; i++) {
       String host = "host-" + i;
       HostIdentity identity = new HostIdentity(host, 1);
@@ -139,57 +144,57 @@
     FleetMember seed = nodes.values().iterator().next().member;
     for (int step = 0; step < steps; step++) {
       nowMs += STEP_MS;
-      int turn = step;
+      int currentStep = step;
       nodes.values().stream()
           .filter(node -> !dead.contains(node.member.identity().host()))
-          .forEach(node -> node.step(turn % HEARTBEAT_STEPS == 0, seed));
+          .forEach(node -> node.step(currentStep % HEARTBEAT_STEPS == 0, seed));
     }
   }
 
-  /** Lets each living daemon report once, and checks who takes it. */
-  private void everyReportReachesWhomItCan() {
+  /** Lets each living daemon report once, and checks which daemons accept it. */
+  private void assertReportsReachAllReachableDaemons() {
     for (Node from : nodes.values()) {
       if (dead.contains(from.member.identity().host())) {
         continue;
       }
       messages = 0;
-      nodes.values().forEach(node -> node.taken.clear());
+      nodes.values().forEach(node -> node.accepted.clear());
       from.report();
       for (Node to : nodes.values()) {
         int expected = to != from && reachable(from, to.member) ? 1 : 0;
-        assertEquals(expected, to.taken.size(), from.member + " to " + to.member);
+        assertEquals(expected, to.accepted.size(), from.member + " to " + to.member);
       }
       assertTrue(messages <= 2 * nodes.size() + 2 * ZONES, messages + " messages");
     }
   }
 
   @Property(seed = "1131", tries = 60)
-  void reportsSpreadWhoeverDies(
+  void reportsReachAllSurvivors(
       @ForAll @IntRange(min = 3, max = 40) int daemons, @ForAll long seed) {
     Random random = new Random(seed);
     start(daemons, random);
     run(60);
-    everyReportReachesWhomItCan();
-    // The first host is the only seed: it stays.
+    assertReportsReachAllReachableDaemons();
+    // The first host is the only seed: it survives.
     for (int i = 1; i < daemons; i++) {
       if (random.nextInt(4) == 0) {
         dead.add("host-" + i);
       }
     }
     run(80);
-    everyReportReachesWhomItCan();
+    assertReportsReachAllReachableDaemons();
   }
 
   @Property(seed = "1132", tries = 40)
-  void reportsSpreadWithinWhatIsCutOffAndEverywhereAfterwards(
+  void reportsReachAllWithinAPartitionAndEverywhereAfterIt(
       @ForAll @IntRange(min = 6, max = 40) int daemons, @ForAll long seed) {
     start(daemons, new Random(seed));
     run(60);
-    cutZone = "zone-1";
+    partitionedZone = "zone-1";
     run(80);
-    everyReportReachesWhomItCan();
-    cutZone = null;
+    assertReportsReachAllReachableDaemons();
+    partitionedZone = null;
     run(80);
-    everyReportReachesWhomItCan();
+    assertReportsReachAllReachableDaemons();
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/membership/ZoneMembershipTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/membership/ZoneMembershipTest.java
@@ -18,7 +18,10 @@
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats under kills, replacements and cuts: a healed zone sees exactly who lives. */
+/**
+ * Heartbeats under kills, replacements and network partitions: a healed zone sees exactly the
+ * living daemons.
+ */
 class ZoneMembershipTest {
   private static final int HOSTS = 5;
 
@@ -36,18 +39,18 @@
     final List<HostIdentity> identities = new ArrayList<>();
     final long[] sequences = new long[HOSTS];
     final boolean[] dead = new boolean[HOSTS];
-    final Set<String> cuts = new HashSet<>();
+    final Set<String> brokenLinks = new HashSet<>();
     long nowMs = 1;
 
     Zone(long seed) {
       random = new Random(seed);
       for (int i = 0; i < HOSTS; i++) {
         identities.add(new HostIdentity("h" + i, 1));
-        members.add(fresh(i));
+        members.add(newMember(i));
       }
     }
 
-    ZoneMembership fresh(int index) {
+    ZoneMembership newMember(int index) {
       ZoneMembership member =
           new ZoneMembership(
               identities.get(index), "z", MembershipSettings.DEFAULT, List.of(address(0)));
@@ -73,7 +76,7 @@
     }
 
     private void deliver(int from, int to) {
-      if (dead[to] || cuts.contains(from + ">" + to)) {
+      if (dead[to] || brokenLinks.contains(from + ">" + to)) {
         return;
       }
       members.get(to).heard(facts(identities.get(from), from, ++sequences[from]), nowMs);
@@ -88,16 +91,16 @@
           HostIdentity old = identities.get(at);
           identities.set(at, new HostIdentity(old.host(), old.incarnation() + 1));
           sequences[at] = 0;
-          members.set(at, fresh(at));
+          members.set(at, newMember(at));
         }
-        case 2 -> cuts.add(at + ">" + random.nextInt(HOSTS));
-        default -> cuts.clear();
+        case 2 -> brokenLinks.add(at + ">" + random.nextInt(HOSTS));
+        default -> brokenLinks.clear();
       }
     }
   }
 
   @Property(tries = 300, seed = "71")
-  void healedZoneSeesExactlyWhoLives(@ForAll long seed) {
+  void healedZoneSeesExactlyTheLivingDaemons(@ForAll long seed) {
     Zone zone = new Zone(seed);
     for (int step = 0; step < 120; step++) {
       if (zone.random.nextInt(8) == 0) {
@@ -105,7 +108,7 @@
       }
       zone.round();
     }
-    zone.cuts.clear();
+    zone.brokenLinks.clear();
     for (int step = 0; step < 40; step++) {
       zone.round();
     }
@@ -126,26 +129,26 @@
   }
 
   @Test
-  void earlierIncarnationIsPassedOver() {
-    ZoneMembership member = new Zone(1).fresh(0);
+  void earlierIncarnationIsDropped() {
+    ZoneMembership member = new Zone(1).newMember(0);
     member.heard(facts(new HostIdentity("h1", 5), 1, 1), 10);
     member.heard(facts(new HostIdentity("h1", 4), 1, 99), 20);
     assertEquals(5, member.livingInZone().get(0).identity().incarnation());
   }
 
   @Test
-  void oneSpeakerWhenAllSeeEachOther() {
+  void oneZoneLeaderIfAllSeeEachOther() {
     Zone zone = new Zone(2);
     for (int i = 0; i < 10; i++) {
       zone.round();
     }
-    Map<HostIdentity, Integer> speakers = new HashMap<>();
-    zone.members.forEach(member -> speakers.merge(member.speaker(), 1, Integer::sum));
-    assertEquals(Map.of(zone.identities.get(0), HOSTS), speakers);
+    Map<HostIdentity, Integer> leaders = new HashMap<>();
+    zone.members.forEach(member -> leaders.merge(member.speaker(), 1, Integer::sum));
+    assertEquals(Map.of(zone.identities.get(0), HOSTS), leaders);
   }
 
   @Test
-  void intervalGrowsSoThatBytesStayBounded() {
+  void intervalGrowsToBoundTheTraffic() {
     MembershipSettings settings = MembershipSettings.DEFAULT;
     assertEquals(1_000, settings.intervalMs(8));
     assertEquals(2_000, settings.intervalMs(25));
