--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimAnswer.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimAnswer.java
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.coordination.once;
 
-/** What a host says of a key to another that wants to run the call. */
+/** The answer of a host to another that asks whether it may run the call with a key. */
 public enum ClaimAnswer {
-  /** It does not run the call and will not, unless it asks everybody again. */
+  /** It does not run the call and will not, unless it asks all other hosts again. */
   FREE,
-  /** It runs the call, claims it right now, or does not know whether it ran. */
+  /** It runs the call, is claiming it now, or does not know whether it ran. */
   HELD,
   /** The call ran. */
   RAN
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
@@ -15,70 +15,70 @@
 
 /**
  * Decides for one host whether a call that may not be repeated may run here. Takes events with
- * their time and gives back actions. Confined to one thread; reads no clock.
+ * their time and returns actions. Confined to one thread; reads no clock.
  */
 public final class ClaimCoordinator {
-  /** How long the other hosts are waited for, in milliseconds. */
-  public static final long ROUND_MS = 1_000;
+  /** Maximum time to wait for the answers of other hosts, in milliseconds. */
+  public static final long ROUND_TIMEOUT_MS = 1_000;
 
   private static final long RETRY_MS = 1_000;
 
   private final OnceLedger ledger = new OnceLedger();
-  private final ClaimRoster roster;
+  private final ClaimMembers roster;
   private final Map<String, Claim> claims = new HashMap<>();
-  private final List<ClaimAction> out = new ArrayList<>();
+  private final List<ClaimAction> pendingActions = new ArrayList<>();
 
-  /** One request's claim; {@code round} is null until the log was read to its end. */
+  /** The claim of one request; {@code round} is null until the log is replayed to its end. */
   private static final class Claim {
     final ClaimKey key;
-    final long untilMs;
+    final long deadlineMs;
     ClaimRound round;
 
-    Claim(ClaimKey key, long untilMs) {
+    Claim(ClaimKey key, long deadlineMs) {
       this.key = key;
-      this.untilMs = untilMs;
+      this.deadlineMs = deadlineMs;
     }
   }
 
-  /** What a caller shows of an earlier sending of the same call. */
+  /** What the caller states about earlier sendings of the same call. */
   public enum Sending {
-    /** The caller counts its sendings and this is the first. */
+    /** The caller counts its sendings, and this is the first. */
     FIRST,
-    /** The caller counts its sendings and this is a later one. */
+    /** The caller counts its sendings, and this is a later one. */
     REPEAT,
-    /** The caller does not count. */
+    /** The caller does not count its sendings. */
     UNCOUNTED
   }
 
-  /** Makes the coordinator of a host that has just started. */
+  /** Creates the coordinator of a host that has just started. */
   public ClaimCoordinator(HostIdentity self) {
-    this.roster = new ClaimRoster(self);
+    this.roster = new ClaimMembers(self);
   }
 
-  /** Returns the roster, to be told of registrations. */
-  public ClaimRoster roster() {
+  /** Returns the members, to be notified of registrations. */
+  public ClaimMembers roster() {
     return roster;
   }
 
-  /** Returns the ledger, to be read. */
+  /** Returns the call registry, for reading. */
   public OnceLedger ledger() {
     return ledger;
   }
 
-  /** Takes a request that needs a claim. */
+  /** Begins the claim of a request; returns the actions to carry out. */
   public List<ClaimAction> arrive(String requestId, ClaimKey key, Sending sending, long nowMs) {
     if (!roster.selfRegistered()) {
       Ran ran = sending == Sending.FIRST ? Ran.NO : Ran.UNKNOWN;
       return refuse(requestId, RefusalKind.NOT_REGISTERED, ran, RETRY_MS);
     }
-    Optional<OnceLedger.State> known = ledger.state(key);
-    if (known.isEmpty() && sending == Sending.FIRST) {
+    Optional<OnceLedger.State> state = ledger.state(key);
+    if (state.isEmpty() && sending == Sending.FIRST) {
       return run(requestId, key, nowMs);
     }
-    if (known.isEmpty() || known.get() == OnceLedger.State.PROMISED) {
-      return ask(requestId, key, nowMs);
+    if (state.isEmpty() || state.get() == OnceLedger.State.PROMISED) {
+      return startClaim(requestId, key, nowMs);
     }
-    return switch (known.get()) {
+    return switch (state.get()) {
       case NOT_RUN -> run(requestId, key, nowMs);
       case RAN -> refuse(requestId, RefusalKind.ALREADY_RAN, Ran.YES, Refusal.NEVER);
       case UNKNOWN -> refuse(requestId, RefusalKind.OUTCOME_UNKNOWN, Ran.UNKNOWN, Refusal.NEVER);
@@ -88,49 +88,49 @@
 
   private List<ClaimAction> run(String requestId, ClaimKey key, long nowMs) {
     ledger.set(key, OnceLedger.State.RUNNING, nowMs);
-    out.add(new ClaimAction.Run(requestId));
+    pendingActions.add(new ClaimAction.Run(requestId));
     return flush();
   }
 
-  private List<ClaimAction> ask(String requestId, ClaimKey key, long nowMs) {
+  private List<ClaimAction> startClaim(String requestId, ClaimKey key, long nowMs) {
     ledger.set(key, OnceLedger.State.CLAIMING, nowMs);
-    claims.put(requestId, new Claim(key, nowMs + ROUND_MS));
-    out.add(new ClaimAction.ReadLogToEnd(requestId));
+    claims.put(requestId, new Claim(key, nowMs + ROUND_TIMEOUT_MS));
+    pendingActions.add(new ClaimAction.ReadLogToEnd(requestId));
     return flush();
   }
 
   /**
-   * Takes note that a read of the log which began after the request arrived has been replayed to
-   * its end, so that the roster names everybody who could have run the call.
+   * Called when a read of the log that began after the request arrived has been replayed to its
+   * end: the members then include every host that may have run the call.
    */
   public List<ClaimAction> logRead(String requestId, long nowMs) {
     Claim claim = claims.get(requestId);
     if (claim == null || claim.round != null) {
       return flush();
     }
-    if (roster.proofImpossible(nowMs)) {
+    if (roster.isProofImpossible(nowMs)) {
       giveUp(requestId, claim, ClaimRound.Verdict.HELD, nowMs);
       return flush();
     }
-    List<ClaimRoster.Asked> others = roster.others();
+    List<ClaimMembers.Target> others = roster.others();
     claim.round =
         new ClaimRound(
-            others.stream().map(ClaimRoster.Asked::identity).collect(Collectors.toSet()));
-    for (ClaimRoster.Asked other : others) {
-      out.add(new ClaimAction.Ask(other.identity(), other.address(), claim.key));
+            others.stream().map(ClaimMembers.Target::identity).collect(Collectors.toSet()));
+    for (ClaimMembers.Target other : others) {
+      pendingActions.add(new ClaimAction.Ask(other.identity(), other.address(), claim.key));
     }
     decide(requestId, claim, nowMs);
     return flush();
   }
 
-  /** Takes another host's answer. */
+  /** Records the answer of another host; returns the actions to carry out. */
   public List<ClaimAction> answered(
       HostIdentity from, ClaimKey key, ClaimAnswer answer, long nowMs) {
-    for (Map.Entry<String, Claim> one : List.copyOf(claims.entrySet())) {
-      Claim claim = one.getValue();
+    for (Map.Entry<String, Claim> entry : List.copyOf(claims.entrySet())) {
+      Claim claim = entry.getValue();
       if (claim.key.equals(key) && claim.round != null) {
-        claim.round.answered(from, answer);
-        decide(one.getKey(), claim, nowMs);
+        claim.round.addAnswer(from, answer);
+        decide(entry.getKey(), claim, nowMs);
       }
     }
     return flush();
@@ -144,7 +144,7 @@
     if (verdict == ClaimRound.Verdict.GRANTED) {
       claims.remove(requestId);
       ledger.set(claim.key, OnceLedger.State.RUNNING, nowMs);
-      out.add(new ClaimAction.Run(requestId));
+      pendingActions.add(new ClaimAction.Run(requestId));
       return;
     }
     giveUp(requestId, claim, verdict, nowMs);
@@ -152,64 +152,65 @@
 
   private void giveUp(String requestId, Claim claim, ClaimRound.Verdict verdict, long nowMs) {
     claims.remove(requestId);
-    // Others may have run the call, so that this host must ask again before it may run it.
+    // Another host may have run the call, so this host must query all others again before it may
+    // run it.
     ledger.set(claim.key, OnceLedger.State.PROMISED, nowMs);
     Refusal refusal =
         verdict == ClaimRound.Verdict.RAN
             ? Refusal.of(RefusalKind.ALREADY_RAN, Ran.YES, Refusal.NEVER)
             : Refusal.of(RefusalKind.OUTCOME_UNKNOWN, Ran.UNKNOWN, RETRY_MS);
-    out.add(new ClaimAction.Refuse(requestId, refusal));
+    pendingActions.add(new ClaimAction.Refuse(requestId, refusal));
   }
 
   private List<ClaimAction> refuse(String requestId, RefusalKind kind, Ran ran, long retryMs) {
-    out.add(new ClaimAction.Refuse(requestId, Refusal.of(kind, ran, retryMs)));
+    pendingActions.add(new ClaimAction.Refuse(requestId, Refusal.of(kind, ran, retryMs)));
     return flush();
   }
 
-  /** Answers another host that wants to run a call. */
+  /** Answers another host that asks whether it may run a call. */
   public ClaimAnswer asked(ClaimKey key, long nowMs) {
-    return ledger.asked(key, nowMs);
+    return ledger.answerClaim(key, nowMs);
   }
 
-  /** Takes note of how a call that ran here, or was to run here, has ended. */
+  /** Records the outcome of a call that ran here or was to run here. */
   public void settled(ClaimKey key, Ran ran, long nowMs) {
-    ledger.settle(key, ran, nowMs);
+    ledger.recordOutcome(key, ran, nowMs);
   }
 
-  /** Takes over the keys of a host that stops for good. */
+  /** Adds the keys that a host handed over at its shutdown. */
   public void inherit(List<OnceLedger.Inherited> handed) {
     ledger.inherit(handed);
   }
 
-  /** Gives up on rounds whose answers did not come, and forgets old keys. */
+  /** Fails claims whose answers did not come in time, and removes expired keys. */
   public List<ClaimAction> tick(long nowMs) {
-    for (Map.Entry<String, Claim> one : List.copyOf(claims.entrySet())) {
-      if (nowMs >= one.getValue().untilMs) {
-        giveUp(one.getKey(), one.getValue(), ClaimRound.Verdict.HELD, nowMs);
+    for (Map.Entry<String, Claim> entry : List.copyOf(claims.entrySet())) {
+      if (nowMs >= entry.getValue().deadlineMs) {
+        giveUp(entry.getKey(), entry.getValue(), ClaimRound.Verdict.HELD, nowMs);
       }
     }
-    ledger.forgetOld(nowMs);
+    ledger.removeExpired(nowMs);
     return flush();
   }
 
   private List<ClaimAction> flush() {
-    List<ClaimAction> actions = List.copyOf(out);
-    out.clear();
+    List<ClaimAction> actions = List.copyOf(pendingActions);
+    pendingActions.clear();
     return actions;
   }
 
-  /** What the claims ask the layers around them to do. */
+  /** An action for the layers around the claims. */
   public sealed interface ClaimAction {
-    /** The call may run here: hand it to admission. */
+    /** Admit the call: it may run here. */
     record Run(String requestId) implements ClaimAction {}
 
-    /** Give the caller its final answer. */
+    /** Send the caller its final answer. */
     record Refuse(String requestId, Refusal refusal) implements ClaimAction {}
 
-    /** Read the log to its end, beginning now, and replay it. */
+    /** Read and replay the log up to its end as of now or later. */
     record ReadLogToEnd(String requestId) implements ClaimAction {}
 
-    /** Ask another host about a key. */
+    /** Query another host about a key. */
     record Ask(HostIdentity identity, HostAddress address, ClaimKey key) implements ClaimAction {}
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimKey.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimKey.java
@@ -4,7 +4,7 @@
 import org.fawndrum.state.CallerGroup;
 
 /**
- * Names a call that may not be repeated.
+ * Identifies a call that may not be repeated.
  *
  * @param group the caller group that chose the key
  * @param key the caller's Idempotency-Key
@@ -12,7 +12,7 @@
 public record ClaimKey(CallerGroup group, String key) {
   private static final char SEPARATOR = '|';
 
-  /** Parses what {@link #toString} prints; returns null when the text has another form. */
+  /** Parses the result of {@link #toString}; returns null if the text has another form. */
   public static ClaimKey parse(String text) {
     int at = text.indexOf(SEPARATOR);
     CallerGroup group = at < 0 ? null : CallerGroup.parse(text.substring(0, at));
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimRound.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimRound.java
@@ -6,29 +6,29 @@
 import java.util.Set;
 import org.fawndrum.state.HostIdentity;
 
-/** One host's asking of all others about one key. Confined to one thread. */
+/** One round of queries from a host to all others about one key. Confined to one thread. */
 final class ClaimRound {
-  private final Set<HostIdentity> open;
+  private final Set<HostIdentity> pendingHosts;
   private final Set<ClaimAnswer> answers = EnumSet.noneOf(ClaimAnswer.class);
 
-  /** How a round stands. */
+  /** The result of a round so far. */
   enum Verdict {
     /** Answers are missing. */
     OPEN,
-    /** Nobody ran the call and nobody will: it may run here. */
+    /** No host ran the call or will run it: it may run here. */
     GRANTED,
     /** The call ran. */
     RAN,
-    /** Somebody may have run it, or is about to. */
+    /** Another host may have run the call, or is about to. */
     HELD
   }
 
-  ClaimRound(Set<HostIdentity> asked) {
-    open = new HashSet<>(asked);
+  ClaimRound(Set<HostIdentity> hosts) {
+    pendingHosts = new HashSet<>(hosts);
   }
 
-  void answered(HostIdentity from, ClaimAnswer answer) {
-    if (open.remove(from)) {
+  void addAnswer(HostIdentity from, ClaimAnswer answer) {
+    if (pendingHosts.remove(from)) {
       answers.add(answer);
     }
   }
@@ -40,6 +40,6 @@
     if (answers.contains(ClaimAnswer.HELD)) {
       return Verdict.HELD;
     }
-    return open.isEmpty() ? Verdict.GRANTED : Verdict.OPEN;
+    return pendingHosts.isEmpty() ? Verdict.GRANTED : Verdict.OPEN;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/once/OnceLedger.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/OnceLedger.java
@@ -9,19 +9,20 @@
 import org.fawndrum.coordination.Ran;
 
 /**
- * What one host incarnation knows of calls that may not be repeated: which it ran, which it claims,
- * which it promised to others. Entries are kept for {@link #KEPT_MS} after they last changed; a
- * caller that sends again later is out of contract. Confined to one thread.
+ * The calls that may not be repeated, as far as one host incarnation knows: those that it ran,
+ * those that it claims, and those that it promised not to run. Entries are kept for {@link
+ * #RETENTION_MS} after their last change; callers must not repeat a call later than that. Confined
+ * to one thread.
  */
 public final class OnceLedger {
-  /** How long a key is remembered, in milliseconds: a quarter of an hour. */
-  public static final long KEPT_MS = 900_000;
+  /** How long a key is kept, in milliseconds: a quarter of an hour. */
+  public static final long RETENTION_MS = 900_000;
 
   private final Map<ClaimKey, Entry> entries = new HashMap<>();
 
-  /** Where a key stands on this host. */
+  /** The state of a key on this host. */
   public enum State {
-    /** This host is asking the others. */
+    /** This host is querying the others. */
     CLAIMING,
     /** This host may have sent the call to a service. */
     RUNNING,
@@ -29,37 +30,37 @@
     RAN,
     /** The call may have run. */
     UNKNOWN,
-    /** This host had the call and it surely did not run. */
+    /** This host had the call, and it certainly did not run. */
     NOT_RUN,
-    /** This host will not run the call unless everybody else lets it. */
+    /** This host will not run the call unless all other hosts permit it. */
     PROMISED
   }
 
   /**
-   * One key's entry.
+   * The entry of one key.
    *
-   * @param state where it stands
-   * @param changedMs when it last changed
+   * @param state the state of the key
+   * @param changedMs when the state last changed
    */
   private record Entry(State state, long changedMs) {}
 
-  /** Returns where a key stands, empty when nothing is known of it. */
+  /** Returns the state of a key; empty if nothing is known of it. */
   public Optional<State> state(ClaimKey key) {
     return Optional.ofNullable(entries.get(key)).map(Entry::state);
   }
 
-  /** Returns how many keys are remembered. */
+  /** Returns the number of keys. */
   public int size() {
     return entries.size();
   }
 
-  /** Sets where a key stands on this host. */
+  /** Sets the state of a key on this host. */
   void set(ClaimKey key, State state, long nowMs) {
     entries.put(key, new Entry(state, nowMs));
   }
 
-  /** Takes note of how a call ended. */
-  void settle(ClaimKey key, Ran ran, long nowMs) {
+  /** Records the outcome of a call. */
+  void recordOutcome(ClaimKey key, Ran ran, long nowMs) {
     State state =
         switch (ran) {
           case NO -> State.NOT_RUN;
@@ -70,10 +71,10 @@
   }
 
   /**
-   * Answers another host that wants to run a call. Saying {@code FREE} is a promise: from then on
-   * this host will not run the call unless everybody, the other host included, lets it.
+   * Answers another host that asks whether it may run a call. {@code FREE} is a promise: from then
+   * on this host will not run the call unless all others, including the other host, permit it.
    */
-  ClaimAnswer asked(ClaimKey key, long nowMs) {
+  ClaimAnswer answerClaim(ClaimKey key, long nowMs) {
     Entry entry = entries.get(key);
     boolean free =
         entry == null || entry.state() == State.NOT_RUN || entry.state() == State.PROMISED;
@@ -84,30 +85,33 @@
     return entry.state() == State.RAN ? ClaimAnswer.RAN : ClaimAnswer.HELD;
   }
 
-  /** Forgets entries that last changed before the time that keys are remembered for. */
-  void forgetOld(long nowMs) {
+  /**
+   * Removes entries whose last change is older than the retention time, except those of running
+   * calls and current claims.
+   */
+  void removeExpired(long nowMs) {
     entries
         .values()
         .removeIf(
             entry ->
-                nowMs - entry.changedMs() > KEPT_MS
+                nowMs - entry.changedMs() > RETENTION_MS
                     && entry.state() != State.RUNNING
                     && entry.state() != State.CLAIMING);
   }
 
-  /** What a stopping host hands over: keys that another host must not run. */
+  /** A key that a host hands over at its shutdown, and that other hosts must not run. */
   public record Inherited(ClaimKey key, State state, long changedMs) {}
 
   /**
-   * Returns the entries that others must know of when this host stops for good. Promises and keys
-   * that surely did not run need no successor: this host will not run them any more.
+   * Returns the entries to hand over to other hosts at shutdown. Promises and keys that certainly
+   * did not run are left out: this host will not run them any more.
    */
   public List<Inherited> handover() {
     List<Inherited> handed = new ArrayList<>();
     entries.forEach(
         (key, entry) -> {
-          boolean done = entry.state() == State.NOT_RUN || entry.state() == State.PROMISED;
-          if (!done) {
+          boolean dispensable = entry.state() == State.NOT_RUN || entry.state() == State.PROMISED;
+          if (!dispensable) {
             State state = entry.state() == State.RAN ? State.RAN : State.UNKNOWN;
             handed.add(new Inherited(key, state, entry.changedMs()));
           }
@@ -115,13 +119,14 @@
     return handed;
   }
 
-  /** Takes over what a stopping host handed over. */
+  /** Adds the entries that another host hands over. */
   void inherit(List<Inherited> handed) {
-    for (Inherited one : handed) {
-      Entry own = entries.get(one.key());
-      boolean mine = own != null && (own.state() == State.RUNNING || own.state() == State.RAN);
-      if (!mine) {
-        entries.put(one.key(), new Entry(one.state(), one.changedMs()));
+    for (Inherited entry : handed) {
+      Entry existing = entries.get(entry.key());
+      boolean runsOrRan =
+          existing != null && (existing.state() == State.RUNNING || existing.state() == State.RAN);
+      if (!runsOrRan) {
+        entries.put(entry.key(), new Entry(entry.state(), entry.changedMs()));
       }
     }
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/once/Registration.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/Registration.java
@@ -5,12 +5,12 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * A record on the log: a daemon incarnation that may run calls which may not be repeated.
+ * A record in the log: a daemon incarnation that may run calls which may not be repeated.
  *
  * @param identity the incarnation
  * @param zone its availability zone
- * @param peerAddress where peers ask it for claims
- * @param retired whether it has stopped for good and handed its claims over
+ * @param peerAddress where peers send it claim requests
+ * @param retired whether it has shut down for good and handed its claims over
  */
 public record Registration(
     HostIdentity identity, String zone, HostAddress peerAddress, boolean retired) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/once/RegistrationBook.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/RegistrationBook.java
@@ -8,45 +8,47 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * The registrations of the log in sum, for snapshots: everybody who may have run a call that a
- * caller could still send again. Confined to one thread.
+ * All registrations of the log that are still relevant, for snapshots: every host that may have run
+ * a call that a caller could still repeat. Confined to one thread.
  */
 public final class RegistrationBook {
-  private final Map<HostIdentity, Kept> kept = new LinkedHashMap<>();
+  private final Map<HostIdentity, Entry> entries = new LinkedHashMap<>();
 
-  /** A registration and when it was replaced by a newer one of its host, -1 while it is not. */
-  private static final class Kept {
+  /** A registration, and when it was replaced by a newer one of its host; -1 while it is not. */
+  private static final class Entry {
     final Registration registration;
     long replacedMs = -1;
 
-    Kept(Registration registration) {
+    Entry(Registration registration) {
       this.registration = registration;
     }
   }
 
-  /** Takes a registration in the order of the log. */
+  /** Adds a registration in the order of the log. */
   public void add(Registration registration, long nowMs) {
     if (registration.retired()) {
-      kept.remove(registration.identity());
+      entries.remove(registration.identity());
       return;
     }
-    for (Kept one : kept.values()) {
-      HostIdentity other = one.registration.identity();
+    for (Entry entry : entries.values()) {
+      HostIdentity other = entry.registration.identity();
       boolean sameHost = other.host().equals(registration.identity().host());
       boolean older = other.incarnation() < registration.identity().incarnation();
-      if (sameHost && older && one.replacedMs < 0) {
-        one.replacedMs = nowMs;
+      if (sameHost && older && entry.replacedMs < 0) {
+        entry.replacedMs = nowMs;
       }
     }
-    kept.putIfAbsent(registration.identity(), new Kept(registration));
+    entries.putIfAbsent(registration.identity(), new Entry(registration));
   }
 
-  /** Returns everybody to be named in a snapshot now. */
+  /** Returns the registrations to be included in a snapshot now. */
   public List<Registration> members(long nowMs) {
-    kept.values()
-        .removeIf(one -> one.replacedMs >= 0 && nowMs - one.replacedMs > OnceLedger.KEPT_MS);
+    entries
+        .values()
+        .removeIf(
+            entry -> entry.replacedMs >= 0 && nowMs - entry.replacedMs > OnceLedger.RETENTION_MS);
     List<Registration> members = new ArrayList<>();
-    kept.values().forEach(one -> members.add(one.registration));
+    entries.values().forEach(entry -> members.add(entry.registration));
     return members;
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/once/OnceHistory.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/once/OnceHistory.java
@@ -17,8 +17,8 @@
 
 /**
  * A random history of hosts, callers and a service that counts its runs. Hosts are killed and
- * replaced, frozen, cut from each other and from the platform; messages are late, crossed and lost;
- * callers send again through other hosts.
+ * replaced, frozen, and disconnected from each other and from the platform; messages are delayed,
+ * reordered and lost; callers repeat calls through other hosts.
  */
 final class OnceHistory {
   private static final int HOSTS = 4;
@@ -27,10 +27,10 @@
 
   private final Random random;
   private final List<Host> hosts = new ArrayList<>();
-  private final List<Host> unaware = new ArrayList<>();
+  private final List<Host> replacedHosts = new ArrayList<>();
   private final List<Logged> log = new ArrayList<>();
   private final List<Step> inFlight = new ArrayList<>();
-  private final Set<String> cuts = new HashSet<>();
+  private final Set<String> brokenLinks = new HashSet<>();
   private final Map<ClaimKey, Integer> sendings = new HashMap<>();
   final Map<ClaimKey, Integer> runs = new HashMap<>();
   final List<String> faults = new ArrayList<>();
@@ -43,7 +43,7 @@
 
   private record Logged(HostIdentity identity, boolean retired) {}
 
-  /** Something that arrives some time; {@code to} is the incarnation that must still be alive. */
+  /** A pending event; {@code to} is the incarnation that must still be alive when it happens. */
   private record Step(Host to, Runnable run) {}
 
   private final class Host {
@@ -119,20 +119,20 @@
         later(this, () -> claims.settled(key, Ran.NO, nowMs));
         return;
       }
-      // The call may be on its way while its sender dies: it runs all the same.
+      // The call may be in flight while its sender dies: it runs anyway.
       inFlight.add(
           new Step(
               null,
               () -> {
                 runs.merge(key, 1, Integer::sum);
-                Ran known = chance < 5 ? Ran.UNKNOWN : Ran.YES;
-                later(this, () -> ended(key, known));
+                Ran outcome = chance < 5 ? Ran.UNKNOWN : Ran.YES;
+                later(this, () -> ended(key, outcome));
               }));
     }
 
-    private void ended(ClaimKey key, Ran known) {
-      answered += known == Ran.YES ? 1 : 0;
-      claims.settled(key, known, nowMs);
+    private void ended(ClaimKey key, Ran outcome) {
+      answered += outcome == Ran.YES ? 1 : 0;
+      claims.settled(key, outcome, nowMs);
     }
   }
 
@@ -149,9 +149,9 @@
       step();
     }
     platformUp = true;
-    cuts.clear();
+    brokenLinks.clear();
     hosts.forEach(host -> host.frozen = false);
-    unaware.forEach(host -> host.frozen = false);
+    replacedHosts.forEach(host -> host.frozen = false);
     for (int i = 0; i < 400 && !inFlight.isEmpty(); i++) {
       arrive();
     }
@@ -173,14 +173,14 @@
   private void disturb(int chance) {
     int at = random.nextInt(HOSTS);
     Host host = hosts.get(at);
-    if (chance < 80 && !unaware.isEmpty()) {
-      unaware.get(random.nextInt(unaware.size())).frozen = false;
+    if (chance < 80 && !replacedHosts.isEmpty()) {
+      replacedHosts.get(random.nextInt(replacedHosts.size())).frozen = false;
     } else if (chance < 82) {
       host.frozen = !host.frozen;
     } else if (chance < 85) {
-      // A frozen host may be replaced and go on later, unaware.
+      // A frozen host may be replaced, and continue later without knowing that.
       host.alive = host.frozen;
-      unaware.add(host);
+      replacedHosts.add(host);
       hosts.set(at, new Host(next(host.identity)));
     } else if (chance < 88) {
       stopPlanned(at);
@@ -188,38 +188,41 @@
       platformUp = !platformUp;
     } else if (chance < 95) {
       String pair = pair("host-" + at, random.nextInt(3) == 0 ? "platform" : anyHost());
-      if (!cuts.remove(pair)) {
-        cuts.add(pair);
+      if (!brokenLinks.remove(pair)) {
+        brokenLinks.add(pair);
       }
     } else if (!inFlight.isEmpty() && random.nextInt(3) == 0) {
       int lost = random.nextInt(inFlight.size());
-      // A call that is on its way to the service cannot be taken back; other messages can be lost.
+      // A call in flight to the service cannot be lost; other messages can.
       if (inFlight.get(lost).to() != null) {
         inFlight.remove(lost);
       }
     }
   }
 
-  /** A planned stop: the host hands its keys to all that it reaches, then tells the log. */
+  /**
+   * A planned shutdown: the host hands its keys to all hosts that it reaches, then retires in the
+   * log.
+   */
   private void stopPlanned(int at) {
     Host host = hosts.get(at);
-    boolean calm = !host.frozen && platformUp && !cut(host.identity.host(), "platform");
+    boolean undisturbed = !host.frozen && platformUp && !cut(host.identity.host(), "platform");
     boolean busy = inFlight.stream().anyMatch(step -> step.to() == host || step.to() == null);
-    if (!calm || busy || !host.registered) {
+    if (!undisturbed || busy || !host.registered) {
       return;
     }
-    List<Host> heirs = new ArrayList<>();
+    List<Host> successors = new ArrayList<>();
     for (Host other : hosts) {
-      boolean reached = other != host && !other.frozen;
-      if (reached && other.registered && !cut(host.identity.host(), other.identity.host())) {
-        heirs.add(other);
+      boolean reachable = other != host && !other.frozen;
+      if (reachable && other.registered && !cut(host.identity.host(), other.identity.host())) {
+        successors.add(other);
       }
     }
-    if (heirs.isEmpty()) {
+    if (successors.isEmpty()) {
       return;
     }
     List<OnceLedger.Inherited> handed = host.claims.ledger().handover();
-    heirs.forEach(heir -> heir.claims.inherit(handed));
+    successors.forEach(successor -> successor.claims.inherit(handed));
     log.add(new Logged(host.identity, true));
     host.alive = false;
     hosts.set(at, new Host(next(host.identity)));
@@ -247,7 +250,7 @@
     int before = sendings.merge(key, 1, Integer::sum) - 1;
     Host host = hosts.get(random.nextInt(HOSTS));
     sent++;
-    // Before a host was registered, what is sent to it proves nothing about earlier sendings.
+    // A call sent to a host before its registration proves nothing about earlier sendings.
     boolean proves = counts && host.registered;
     Sending sending =
         proves && before == 0
@@ -294,6 +297,6 @@
   }
 
   private boolean cut(String one, String other) {
-    return cuts.contains(pair(one, other));
+    return brokenLinks.contains(pair(one, other));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/once/OnceTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/once/OnceTest.java
@@ -15,7 +15,7 @@
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
-/** Calls that may not be repeated run at most once, and "not run" is true. */
+/** Calls that may not be repeated run at most once, and the outcome "not run" is true. */
 class OnceTest {
   private static final ClaimKey KEY = new ClaimKey(new CallerGroup("w", "c"), "k");
   private static final HostIdentity SELF = new HostIdentity("a", 1);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void failedClaimMustAskAgainBeforeItRuns() {
+  void failedClaimMustBeRepeatedBeforeTheCallRuns() {
     ClaimCoordinator claims = registered();
     claims.arrive("r1", KEY, Sending.REPEAT, 1);
     claims.logRead("r1", 2);
@@ -54,15 +54,15 @@
   }
 
   @Test
-  void lostHostMakesProofImpossibleUntilKeysAreForgotten() {
+  void lostHostMakesProofImpossibleUntilKeysExpire() {
     ClaimCoordinator claims = registered();
     claims.roster().lost(OTHER, 10);
-    assertTrue(claims.roster().proofImpossible(11));
-    assertTrue(!claims.roster().proofImpossible(11 + OnceLedger.KEPT_MS));
+    assertTrue(claims.roster().isProofImpossible(11));
+    assertTrue(!claims.roster().isProofImpossible(11 + OnceLedger.RETENTION_MS));
   }
 
   @Test
-  void unregisteredHostRefusesAndSaysNotRunOnlyOfAFirstSending() {
+  void unregisteredHostReportsNotRunOnlyForAFirstSending() {
     ClaimCoordinator claims = new ClaimCoordinator(SELF);
     assertEquals(Ran.NO, ranOf(claims.arrive("r1", KEY, Sending.FIRST, 1)));
     assertEquals(Ran.UNKNOWN, ranOf(claims.arrive("r2", KEY, Sending.REPEAT, 1)));
