--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashLedger.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashLedger.java
@@ -165,7 +165,7 @@
     BoundedMaps.putLast(map, served.request(), served.atMs(), MAX_REJECTED);
   }
 
-  /** Returns whether an arriving or waiting request may be sent. */
+  /** Returns whether an arriving or waiting request is allowed, delayed or rejected. */
   public CrashVerdict verdict(RequestContent content, long nowMs) {
     Optional<RequestFingerprint> request = suspect(content);
     if (request.isEmpty()) {
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashVerdict.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashVerdict.java
@@ -5,7 +5,7 @@
 public enum CrashVerdict {
   /** It may be sent. */
   FREE,
-  /** It must wait for the reports of other hosts, for at most the time that these take. */
+  /** It must wait until the reports of other hosts have had time to arrive. */
   HELD,
   /** It is rejected, because endpoints crash under it. */
   REFUSED
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/InconclusiveRunTable.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/InconclusiveRunTable.java
@@ -19,8 +19,8 @@
   static final int MAX_RUNS = 3;
 
   /**
-   * Duration of the quarantine after each of these runs; longer than a request and its repetitions
-   * last.
+   * Duration of the quarantine after the last of these runs and after each further one; longer than
+   * a request and its repetitions last.
    */
   static final long QUARANTINE_MS = 60_000;
 
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
@@ -207,7 +207,7 @@
     /** Send the caller its final answer. */
     record Refuse(String requestId, Refusal refusal) implements ClaimAction {}
 
-    /** Read and replay the log up to its end as of now or later. */
+    /** Replay the log up to its end, by a read that begins now. */
     record ReadLogToEnd(String requestId) implements ClaimAction {}
 
     /** Query another host about a key. */
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashRegistryTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashRegistryTest.java
@@ -300,7 +300,7 @@
     CrashNews three =
         second.crashed(new HostIdentity("e-3", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs + 600);
     // Late, in another order, and twice.
-    List.of(three, one, two, one, three).forEach(news -> third.heard(news, nowMs + 700));
+    List.of(three, one, two, one, three).forEach(update -> third.heard(update, nowMs + 700));
     third.decide(nowMs + 900);
     assertEquals(CrashVerdict.REFUSED, third.verdict(DEADLY, nowMs + 900));
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/ExecutionLeasesTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/ExecutionLeasesTest.java
@@ -26,9 +26,9 @@
   private final CrashLedger registry = new CrashLedger(new HostIdentity("host-1", 1));
   private long nowMs = START_MS;
 
-  private void crash(String endpoint, TestContent... under) {
-    for (TestContent one : under) {
-      registry.crashed(new HostIdentity(endpoint, 1), one.knownFingerprint(), SENT_MS, nowMs);
+  private void crash(String endpoint, TestContent... requests) {
+    for (TestContent request : requests) {
+      registry.crashed(new HostIdentity(endpoint, 1), request.knownFingerprint(), SENT_MS, nowMs);
     }
   }
 
@@ -142,16 +142,16 @@
     threeAmbiguousCrashes();
     for (int i = 0; i < InconclusiveRunTable.MAX_RUNS; i++) {
       assertEquals(0, registry.quarantinedUntilMs(DEADLY));
-      CrashNews news = inconclusiveRun();
-      assertFalse(other.heard(news, nowMs).isEmpty(), "to be forwarded");
-      assertTrue(other.heard(news, nowMs + 40).isEmpty(), "forwarded twice");
+      CrashNews update = inconclusiveRun();
+      assertFalse(other.heard(update, nowMs).isEmpty(), "to be forwarded");
+      assertTrue(other.heard(update, nowMs + 40).isEmpty(), "forwarded twice");
     }
     other.heard(registry.all(), nowMs);
-    for (CrashLedger one : List.of(registry, other)) {
-      long untilMs = one.quarantinedUntilMs(DEADLY);
+    for (CrashLedger host : List.of(registry, other)) {
+      long untilMs = host.quarantinedUntilMs(DEADLY);
       assertTrue(untilMs > nowMs + InconclusiveRunTable.QUARANTINE_MS / 2);
-      assertTrue(one.askTurn(DEADLY, untilMs - 1).isEmpty());
-      assertFalse(one.askTurn(DEADLY, untilMs).isEmpty(), "one more after it");
+      assertTrue(host.askTurn(DEADLY, untilMs - 1).isEmpty());
+      assertFalse(host.askTurn(DEADLY, untilMs).isEmpty(), "one more after it");
     }
   }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineModelPlacementTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineModelPlacementTest.java
@@ -149,10 +149,10 @@
   void updatesNameTheZoneOfTheirEndpoint() {
     engines(1, 1);
     Action.Send send = sendRequest(1_000, SHORT_AIMS, 0).orElseThrow();
-    List<Action> read = coordinator.attempt(send.attempt(), AttemptEvent.ANSWERING, 50);
-    List<Action> ended = coordinator.attempt(send.attempt(), AttemptEvent.ANSWERED, 90);
-    assertEquals(List.of("zone-b"), announcedZones(read));
-    assertEquals(List.of("zone-b"), announcedZones(ended));
+    List<Action> afterFirstToken = coordinator.attempt(send.attempt(), AttemptEvent.ANSWERING, 50);
+    List<Action> afterCompletion = coordinator.attempt(send.attempt(), AttemptEvent.ANSWERED, 90);
+    assertEquals(List.of("zone-b"), announcedZones(afterFirstToken));
+    assertEquals(List.of("zone-b"), announcedZones(afterCompletion));
   }
 
   private static List<String> announcedZones(List<Action> actions) {
@@ -235,8 +235,8 @@
       used.add(send.endpoint().identity());
     }
     assertEquals(1, used.size());
-    Action.Send nextRequest = sendRequest(1_000, SHORT_AIMS, 3_000).orElseThrow();
-    assertFalse(used.contains(nextRequest.endpoint().identity()));
+    Action.Send last = sendRequest(1_000, SHORT_AIMS, 3_000).orElseThrow();
+    assertFalse(used.contains(last.endpoint().identity()));
   }
 
   @Test
@@ -290,11 +290,11 @@
       }
       open.addAll(sends(coordinator.tick(nowMs)));
       for (Action.Send one : open) {
-        HostIdentity writes = one.endpoint().identity();
-        long there = open.stream().filter(other -> writes.equals(identity(other))).count();
-        assertTrue(there <= PROFILE.slots(), there + " at " + writes);
+        HostIdentity decoder = one.endpoint().identity();
+        long there = open.stream().filter(other -> decoder.equals(identity(other))).count();
+        assertTrue(there <= PROFILE.slots(), there + " at " + decoder);
         Set<HostIdentity> all = new HashSet<>();
-        all.add(writes);
+        all.add(decoder);
         one.helpers().forEach(helper -> all.add(helper.endpoint().identity()));
         assertEquals(1 + one.helpers().size(), all.size());
       }
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/PlacementFormulaTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/PlacementFormulaTest.java
@@ -111,14 +111,16 @@
     for (int i = 0; i < jobs; i++) {
       sentMs += random.nextInt((int) (nowMs / jobs) + 1);
       long id = nextId++;
-      int parts = random.nextInt(3) == 0 ? 2 + random.nextInt(8) : 1;
-      boolean writes = parts == 1 || random.nextInt(parts) == 0;
+      int segments = random.nextInt(3) == 0 ? 2 + random.nextInt(8) : 1;
+      boolean decodes = segments == 1 || random.nextInt(segments) == 0;
       long prompt = prompt(random);
       RequestAims aims = AIMS.get(random.nextInt(AIMS.size()));
       HostIdentity at = state.endpoint().identity();
       state
           .load()
-          .add(new EngineJob(id, at, prompt, prompt / parts, parts, writes, aims, sentMs), sentMs);
+          .add(
+              new EngineJob(id, at, prompt, prompt / segments, segments, decodes, aims, sentMs),
+              sentMs);
       if (random.nextInt(3) == 0) {
         state.load().read(id, sentMs + random.nextInt((int) (nowMs - sentMs) + 1));
       }
--- a/org.fawndrum/tst/org/fawndrum/coordination/once/OnceHistory.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/once/OnceHistory.java
@@ -81,8 +81,8 @@
             faults.add("said not run, but ran: " + key);
           }
           unknown++;
-        } else if (action instanceof ClaimAction.ReadLogToEnd read) {
-          readLog(read.requestId());
+        } else if (action instanceof ClaimAction.ReadLogToEnd replay) {
+          readLog(replay.requestId());
         } else if (action instanceof ClaimAction.Ask ask) {
           ask(ask);
         }
@@ -126,11 +126,11 @@
               () -> {
                 runs.merge(key, 1, Integer::sum);
                 Ran outcome = chance < 5 ? Ran.UNKNOWN : Ran.YES;
-                later(this, () -> ended(key, outcome));
+                later(this, () -> recordOutcome(key, outcome));
               }));
     }
 
-    private void ended(ClaimKey key, Ran outcome) {
+    private void recordOutcome(ClaimKey key, Ran outcome) {
       answered += outcome == Ran.YES ? 1 : 0;
       claims.settled(key, outcome, nowMs);
     }
