--- a/org.fawndrum.soak/src/org/fawndrum/soak/EndpointRun.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/EndpointRun.java
@@ -1,76 +1,76 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.soak;
 
-/** One arrival of a request at an endpoint, until its end there. Confined to one event loop. */
+/** One run of a request at an endpoint, from arrival to completion. Confined to one event loop. */
 final class EndpointRun {
-  /** For how long the last bytes of an answer may be on their way, in milliseconds. */
-  private static final long ON_ITS_WAY_MS = 500;
+  /** Maximum time that the last bytes of an answer are in transit, in milliseconds. */
+  private static final long IN_TRANSIT_MS = 500;
 
   private boolean open = true;
-  private boolean answers;
-  private boolean harmed;
-  private boolean brokenOff;
-  private boolean lostOnItsWay;
-  private long overMs;
+  private boolean started;
+  private boolean impaired;
+  private boolean aborted;
+  private boolean lostInTransit;
+  private long endMs;
 
-  /** Takes note that it began to send a successful answer. */
-  void answerBegan() {
-    answers = true;
+  /** Records that the endpoint started to send a successful answer. */
+  void responseStarted() {
+    started = true;
   }
 
-  /** Tells whether it began to send a successful answer. */
-  boolean hasAnswered() {
-    return answers;
+  /** Whether the endpoint started to send a successful answer. */
+  boolean hasResponseStarted() {
+    return started;
   }
 
-  /** Takes note that it answered, that its connection closed or that the endpoint is gone. */
-  void over(long nowMs) {
+  /** Records the completion: answer sent, connection closed or endpoint terminated. */
+  void complete(long nowMs) {
     if (open) {
       open = false;
-      overMs = nowMs;
+      endMs = nowMs;
     }
   }
 
-  /** Takes note that the endpoint broke it off, by falling silent or by closing its connection. */
-  void brokenOff(long nowMs) {
-    brokenOff |= open;
-    over(nowMs);
+  /** Records that the endpoint aborted the run by hanging or by closing the connection. */
+  void abort(long nowMs) {
+    aborted |= open;
+    complete(nowMs);
   }
 
-  /** Takes note that its answer may not arrive: its host cannot know when it was over. */
-  void harmed() {
-    harmed = true;
+  /** Records that the answer may not arrive, so the host cannot know when the run completed. */
+  void markImpaired() {
+    impaired = true;
   }
 
-  /** Takes note that its endpoint ended: what had left it lately may not have reached its host. */
-  void endpointEnded(long nowMs) {
-    lostOnItsWay |= !open && nowMs - overMs <= ON_ITS_WAY_MS;
+  /** Records that the endpoint crashed; bytes sent just before may not have reached the host. */
+  void endpointCrashed(long nowMs) {
+    lostInTransit |= !open && nowMs - endMs <= IN_TRANSIT_MS;
   }
 
-  /** Tells whether its endpoint ended just after it had answered. */
-  boolean isLostOnItsWay() {
-    return lostOnItsWay;
+  /** Whether the endpoint crashed just after the run had completed. */
+  boolean isLostInTransit() {
+    return lostInTransit;
   }
 
-  boolean isHarmed() {
-    return harmed;
+  boolean isImpaired() {
+    return impaired;
   }
 
-  boolean isBrokenOff() {
-    return brokenOff;
+  boolean isAborted() {
+    return aborted;
   }
 
   boolean isOpen() {
     return open;
   }
 
-  /** Returns when it was over; only once it is. */
-  long overMs() {
-    return overMs;
+  /** Returns the completion time in milliseconds; 0 while the run is open. */
+  long endMs() {
+    return endMs;
   }
 
-  /** Tells whether it was still at work at a time. */
-  boolean atWork(long atMs) {
-    return open || overMs >= atMs;
+  /** Whether the run was still open at a time. */
+  boolean isActiveAt(long atMs) {
+    return open || endMs >= atMs;
   }
 }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/Fault.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/Fault.java
@@ -11,157 +11,159 @@
 import java.util.Set;
 
 /**
- * One fault.
+ * A fault to inject.
  *
- * @param atMs when it begins, in milliseconds after the traffic
- * @param forMs how long it lasts, in milliseconds; says nothing for a momentary one
- * @param kind what happens
- * @param target counts the hosts or endpoints that it strikes
- * @param mode what a proxy does; only for kinds with a proxy
+ * @param atMs the start, in milliseconds after the traffic starts
+ * @param durationMs the duration, in milliseconds; unused for instant kinds
+ * @param kind the kind of fault
+ * @param target the index of the affected host or endpoint, modulo their number
+ * @param mode the mode of the proxy; only for kinds with a proxy
  */
-record Fault(long atMs, long forMs, Kind kind, int target, FaultProxy.Mode mode) {
-  /** The shortest fault, in milliseconds. */
-  private static final int SHORTEST_MS = 200;
+record Fault(long atMs, long durationMs, Kind kind, int target, FaultProxy.Mode mode) {
+  /** Minimum duration of a fault, in milliseconds. */
+  private static final int MIN_DURATION_MS = 200;
 
   /**
-   * By how much a fault may outlast the shortest one, in milliseconds: the longest outlast the
-   * silence after which a daemon counts as gone.
+   * Random addition to the minimum duration, in milliseconds: the longest faults exceed the silence
+   * after which a daemon is considered gone.
    */
-  private static final int LONGER_MS = 4_000;
+  private static final int DURATION_SPREAD_MS = 4_000;
 
-  /** The longest time from one fault or series to the next, in milliseconds: many overlap. */
-  private static final int GAP_MS = LONGER_MS / 2;
+  /** Maximum time from one fault or series to the next, in milliseconds: many overlap. */
+  private static final int MAX_GAP_MS = DURATION_SPREAD_MS / 2;
 
-  /** One time in so many, faults of a kind come in a series. */
-  private static final int SERIES_PART = 3;
+  /** One in this many times, a kind of fault is injected as a series. */
+  private static final int SERIES_ODDS = 3;
 
-  /** The longest time between two faults of a series, in milliseconds: they overlap. */
-  private static final int SERIES_GAP_MS = 400;
+  /** Maximum time between two faults of a series, in milliseconds: they overlap. */
+  private static final int MAX_SERIES_GAP_MS = 400;
 
-  /** How many engines at most fall silent for good: enough others are left. */
-  static final int MOST_SILENT = 2;
+  /** Maximum number of engines that hang permanently, so that enough others remain. */
+  static final int MAX_HUNG_ENGINES = 2;
 
-  /** How often each kind comes in a seed that has come to the soak later, in that order. */
-  private static final Map<Kind, Integer> EXTRA = extra();
+  /** How often each kind that was added later is injected per seed, in the order of addition. */
+  private static final Map<Kind, Integer> EXTRA_COUNTS = extraCounts();
 
-  private static Map<Kind, Integer> extra() {
+  private static Map<Kind, Integer> extraCounts() {
     Map<Kind, Integer> extra = new LinkedHashMap<>();
-    extra.put(Kind.ENGINE_FORGETS, 2);
+    extra.put(Kind.ENGINE_DROPS_WORK, 2);
     extra.put(Kind.ENGINE_RESTARTS, 3);
-    extra.put(Kind.ENTRY_SPOILED, 3);
-    extra.put(Kind.DEADLY_REQUEST, 2);
-    extra.put(Kind.SAYS_LEAVING, 2);
-    extra.put(Kind.ASKS_FOR_REST, 2);
-    extra.put(Kind.STORE_GOES_BACK, 2);
+    extra.put(Kind.ENTRY_OVERWRITTEN, 3);
+    extra.put(Kind.CRASHING_REQUEST, 2);
+    extra.put(Kind.DRAINING_NOTICE, 2);
+    extra.put(Kind.BACKOFF_NOTICE, 2);
+    extra.put(Kind.STORE_RESTORED, 2);
     return extra;
   }
 
-  /** The kinds before endpoints could say anything in their answers, for the same reason. */
-  static final Set<Kind> THIRD = EnumSet.range(Kind.KILL, Kind.DEADLY_REQUEST);
+  /** The kinds before notices in endpoints' answers were added; see {@link #GENERATION_1}. */
+  static final Set<Kind> GENERATION_3 = EnumSet.range(Kind.KILL, Kind.CRASHING_REQUEST);
 
-  /** The kinds before requests could end engines, for the same reason. */
-  static final Set<Kind> SECOND = EnumSet.range(Kind.KILL, Kind.ENTRY_SPOILED);
+  /** The kinds before requests that crash engines were added; see {@link #GENERATION_1}. */
+  static final Set<Kind> GENERATION_2 = EnumSet.range(Kind.KILL, Kind.ENTRY_OVERWRITTEN);
 
-  /** The kinds before engines could start again: seeds that showed a fault keep what they had. */
-  static final Set<Kind> FIRST = EnumSet.range(Kind.KILL, Kind.ENGINE_FORGETS);
+  /**
+   * The kinds before restarts of engines were added. Seeds that found a defect keep the kinds that
+   * they had, so that they still plan the same faults.
+   */
+  static final Set<Kind> GENERATION_1 = EnumSet.range(Kind.KILL, Kind.ENGINE_DROPS_WORK);
 
   /** All kinds. */
   static final Set<Kind> ALL = EnumSet.allOf(Kind.class);
 
-  /** The sets of kinds that seeds were first played with, the oldest first. */
-  static final List<Set<Kind>> GENERATIONS = List.of(FIRST, SECOND, THIRD, ALL);
+  /** The sets of kinds that seeds were first run with, oldest first. */
+  static final List<Set<Kind>> GENERATIONS = List.of(GENERATION_1, GENERATION_2, GENERATION_3, ALL);
 
-  /** What happens. */
+  /** Kinds of faults. The order is part of what a seed plans. */
   enum Kind {
-    /** A host is killed and started again. */
+    /** A host is killed and restarted. */
     KILL,
-    /** A host is asked to stop and started again. */
+    /** A host is shut down and restarted. */
     STOP,
-    /** A host stands still. */
+    /** A host's process is suspended. */
     PAUSE,
-    /** A host is told to read its settings again. */
+    /** A host receives the signal to reload its settings. */
     RELOAD,
-    /** The store answers all that nothing was done. */
+    /** The store rejects all requests. */
     STORE_BUSY,
-    /** The store answers nobody. */
-    STORE_SILENT,
-    /** The store forgets its history. */
-    STORE_FORGETS,
-    /** A host's connections to the store are harmed. */
+    /** The store doesn't answer. */
+    STORE_UNRESPONSIVE,
+    /** The store expires all its records. */
+    STORE_EXPIRES_RECORDS,
+    /** A host's connections to the store are impaired. */
     STORE_LINK,
-    /** Connections to an endpoint are harmed. */
+    /** Connections to an endpoint are impaired. */
     ENDPOINT_LINK,
-    /** An endpoint runs requests and loses the answers. */
+    /** An endpoint runs requests and closes the connection without an answer. */
     ANSWERS_LOST,
-    /** An endpoint turns requests away without running them. */
-    SHEDS,
-    /** An endpoint says that it is leaving, and comes back. */
-    LEAVES,
-    /** A newer configuration, with the same meaning. */
+    /** An endpoint rejects requests without running them. */
+    REJECTS,
+    /** An endpoint's entry in the store says that it is draining, and later that it is ready. */
+    DRAINS,
+    /** A newer configuration with the same content is published. */
     CONFIGURE,
-    /** A key is taken away. */
-    REVOKE,
-    /**
-     * An engine answers nothing any more, for good; one that reads a long prompt if there is one.
-     */
-    ENGINE_SILENT,
+    /** A caller key is revoked. */
+    REVOKE_KEY,
+    /** An engine permanently stops answering; preferably one that prefills a long prompt. */
+    ENGINE_HANGS,
     /**
-     * An engine drops what it works on without an answer and serves on; one that reads a long
-     * prompt if there is one.
+     * An engine drops its open requests without an answer and continues to serve; preferably one
+     * that prefills a long prompt.
      */
-    ENGINE_FORGETS,
+    ENGINE_DROPS_WORK,
     /**
-     * An engine starts again under its id and knows nothing of before; one that reads a long prompt
-     * if there is one.
+     * An engine restarts under the same id without its previous state; preferably one that prefills
+     * a long prompt.
      */
     ENGINE_RESTARTS,
-    /** Somebody else writes over the entry of an engine, until the engine writes its own again. */
-    ENTRY_SPOILED,
-    /** A request comes again and again, at any host, that ends each engine that runs it. */
-    DEADLY_REQUEST,
-    /** An endpoint says in its answers, and nowhere else, that it leaves, and starts again. */
-    SAYS_LEAVING,
-    /** An endpoint turns requests away and asks their hosts for rest. */
-    ASKS_FOR_REST,
-    /** The store is away for a while and comes back from an older copy. */
-    STORE_GOES_BACK;
-
-    /** Tells whether it happens at one moment, and so has no end. */
-    boolean momentary() {
+    /** Another writer overwrites an engine's entry, until the engine writes it again. */
+    ENTRY_OVERWRITTEN,
+    /** A request that crashes each engine that runs it is sent repeatedly, to any host. */
+    CRASHING_REQUEST,
+    /** An endpoint signals only in its answers that it is shutting down, and then restarts. */
+    DRAINING_NOTICE,
+    /** An endpoint rejects requests and asks the hosts to back off. */
+    BACKOFF_NOTICE,
+    /** The store is unavailable for a time and then restored from an older copy. */
+    STORE_RESTORED;
+
+    /** Whether the fault happens at one instant and has no end. */
+    boolean isInstant() {
       return switch (this) {
-        case KILL, STOP, STORE_FORGETS, CONFIGURE, REVOKE -> true;
-        case ENGINE_SILENT, ENGINE_FORGETS, ENGINE_RESTARTS, DEADLY_REQUEST -> true;
+        case KILL, STOP, STORE_EXPIRES_RECORDS, CONFIGURE, REVOKE_KEY -> true;
+        case ENGINE_HANGS, ENGINE_DROPS_WORK, ENGINE_RESTARTS, CRASHING_REQUEST -> true;
         default -> false;
       };
     }
   }
 
-  /** Returns the faults of a play; none for a calm one. */
-  static List<Fault> plan(Soak.Order order) {
-    return order.kinds().isEmpty()
+  /** Returns the faults of a run; empty for one without faults. */
+  static List<Fault> plan(Soak.Config config) {
+    return config.kinds().isEmpty()
         ? List.of()
-        : plan(new Random(order.seed()), order.lengthMs(), order.hosts(), order.kinds());
+        : plan(new Random(config.seed()), config.lengthMs(), config.hosts(), config.kinds());
   }
 
   /**
-   * Returns the faults of a seed, by time: single ones and series that overlap.
+   * Returns the faults of a seed, ordered by start: single faults and overlapping series.
    *
-   * @param kinds {@link #FIRST}, one of the sets after it or {@link #ALL}
+   * @param kinds one of {@link #GENERATIONS}
    */
   static List<Fault> plan(Random random, long lengthMs, int targets, Set<Kind> kinds) {
     List<Fault> plan = new ArrayList<>();
-    long atMs = random.nextInt(GAP_MS);
+    long atMs = random.nextInt(MAX_GAP_MS);
     while (atMs < lengthMs) {
-      // Engines that go for good or forget come below, so that the other faults of a seed stay.
-      Kind kind = Kind.values()[random.nextInt(Kind.ENGINE_SILENT.ordinal())];
-      int series = random.nextInt(SERIES_PART) == 0 ? 1 + random.nextInt(targets) : 1;
+      // Kinds from ENGINE_HANGS on are added below, so that the other faults of a seed don't
+      // change.
+      Kind kind = Kind.values()[random.nextInt(Kind.ENGINE_HANGS.ordinal())];
+      int series = random.nextInt(SERIES_ODDS) == 0 ? 1 + random.nextInt(targets) : 1;
       for (int i = 0; i < series; i++) {
-        plan.add(fault(random, atMs + i * random.nextInt(SERIES_GAP_MS), kind, targets));
+        plan.add(fault(random, atMs + i * random.nextInt(MAX_SERIES_GAP_MS), kind, targets));
       }
-      atMs += random.nextInt(GAP_MS);
+      atMs += random.nextInt(MAX_GAP_MS);
     }
-    add(plan, random, lengthMs, Kind.ENGINE_SILENT, 1 + random.nextInt(MOST_SILENT), targets);
-    EXTRA.forEach(
+    add(plan, random, lengthMs, Kind.ENGINE_HANGS, 1 + random.nextInt(MAX_HUNG_ENGINES), targets);
+    EXTRA_COUNTS.forEach(
         (kind, times) -> {
           if (kinds.contains(kind)) {
             add(plan, random, lengthMs, kind, times, targets);
@@ -181,7 +183,7 @@
   private static Fault fault(Random random, long atMs, Kind kind, int targets) {
     FaultProxy.Mode[] modes = FaultProxy.Mode.values();
     FaultProxy.Mode mode = modes[1 + random.nextInt(modes.length - 1)];
-    long forMs = SHORTEST_MS + random.nextInt(LONGER_MS);
-    return new Fault(atMs, forMs, kind, random.nextInt(targets), mode);
+    long durationMs = MIN_DURATION_MS + random.nextInt(DURATION_SPREAD_MS);
+    return new Fault(atMs, durationMs, kind, random.nextInt(targets), mode);
   }
 }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/FaultProxy.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/FaultProxy.java
@@ -12,11 +12,11 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * Passes the bytes of connections on to one address, or harms them. Confined to the event loop that
- * it is made on.
+ * A TCP proxy in front of one address that forwards, delays or drops bytes or resets connections.
+ * Confined to the event loop that creates it.
  */
 final class FaultProxy {
-  /** The delay of each piece in {@link Mode#DELAY}, in milliseconds: half of a first-token aim. */
+  /** Delay of each buffer in {@link Mode#DELAY}, in milliseconds: half of a first-token target. */
   private static final long DELAY_MS = 150;
 
   private static final String LOOPBACK = "127.0.0.1";
@@ -24,23 +24,23 @@
   private final Vertx vertx;
   private final NetClient client;
   private final HostAddress target;
-  private final Set<NetSocket> open = new HashSet<>();
+  private final Set<NetSocket> openSockets = new HashSet<>();
   private NetServer server;
   private Mode mode = Mode.PASS;
 
-  /** What happens to bytes. */
+  /** How the proxy treats the bytes of its connections. */
   enum Mode {
-    /** They are passed on. */
+    /** Forwards all bytes. */
     PASS,
-    /** They are passed on later. */
+    /** Forwards all bytes after a delay. */
     DELAY,
-    /** Those towards the target are dropped; answers still come. */
-    CUT_OUT,
-    /** Those from the target are dropped; requests still arrive. */
-    CUT_BACK,
-    /** All are dropped, and no connection is closed. */
-    SILENT,
-    /** Connections are reset, open ones and new ones. */
+    /** Drops bytes to the target; responses are still forwarded. */
+    DROP_REQUESTS,
+    /** Drops bytes from the target; requests are still forwarded. */
+    DROP_RESPONSES,
+    /** Drops all bytes and closes no connection. */
+    DROP_ALL,
+    /** Closes open connections and new ones. */
     RESET
   }
 
@@ -50,7 +50,7 @@
     this.target = target;
   }
 
-  /** Listens on a free port and gives the address. */
+  /** Listens on a free port; completes with the address. */
   Future<HostAddress> listen() {
     return listen(0);
   }
@@ -68,71 +68,71 @@
   }
 
   /**
-   * Breaks all connections and refuses new ones for a time, in milliseconds, as the port of a
-   * process that ended does. Completes when it listens again.
+   * Closes all connections and refuses new ones for a time, in milliseconds, as the port of a
+   * terminated process does. Completes when it listens again.
    */
-  Future<Void> refuse(long forMs) {
+  Future<Void> refuseFor(long durationMs) {
     int port = server.actualPort();
-    Set.copyOf(open).forEach(NetSocket::close);
-    return server.close().compose(v -> listenAgain(port, forMs));
+    Set.copyOf(openSockets).forEach(NetSocket::close);
+    return server.close().compose(v -> retryListen(port, durationMs));
   }
 
-  /** Another process may have the port for a moment. */
-  private Future<Void> listenAgain(int port, long afterMs) {
+  /** Retries because another process may occupy the port for a short time. */
+  private Future<Void> retryListen(int port, long afterMs) {
     return vertx
         .timer(afterMs)
         .compose(v -> listen(port))
         .<Void>mapEmpty()
-        .recover(cause -> listenAgain(port, afterMs));
+        .recover(cause -> retryListen(port, afterMs));
   }
 
-  /** Chooses what happens to bytes from now on. */
+  /** Sets how bytes are treated from now on. */
   void mode(Mode newMode) {
     mode = newMode;
     if (mode == Mode.RESET) {
-      Set.copyOf(open).forEach(NetSocket::close);
+      Set.copyOf(openSockets).forEach(NetSocket::close);
     }
   }
 
-  private void accept(NetSocket inside) {
+  private void accept(NetSocket clientSocket) {
     if (mode == Mode.RESET) {
-      inside.close();
+      clientSocket.close();
       return;
     }
-    inside.pause();
+    clientSocket.pause();
     client
         .connect(target.port(), target.ip())
         .onSuccess(
-            outside -> {
-              join(inside, outside, Mode.CUT_OUT);
-              join(outside, inside, Mode.CUT_BACK);
-              inside.resume();
+            targetSocket -> {
+              pipe(clientSocket, targetSocket, Mode.DROP_REQUESTS);
+              pipe(targetSocket, clientSocket, Mode.DROP_RESPONSES);
+              clientSocket.resume();
             })
-        .onFailure(cause -> inside.close());
+        .onFailure(cause -> clientSocket.close());
   }
 
-  private void join(NetSocket from, NetSocket to, Mode cut) {
-    open.add(from);
-    from.handler(piece -> pass(piece, to, cut));
+  private void pipe(NetSocket from, NetSocket to, Mode dropMode) {
+    openSockets.add(from);
+    from.handler(buffer -> forward(buffer, to, dropMode));
     from.closeHandler(
         v -> {
-          open.remove(from);
-          // A connection that is silenced does not tell that the other side closed it.
-          if (mode != Mode.SILENT && mode != cut) {
+          openSockets.remove(from);
+          // A dropped direction doesn't forward the close of the other side.
+          if (mode != Mode.DROP_ALL && mode != dropMode) {
             to.close();
           }
         });
     from.exceptionHandler(cause -> from.close());
   }
 
-  private void pass(Buffer piece, NetSocket to, Mode cut) {
-    if (mode == Mode.SILENT || mode == cut) {
+  private void forward(Buffer buffer, NetSocket to, Mode dropMode) {
+    if (mode == Mode.DROP_ALL || mode == dropMode) {
       return;
     }
     if (mode == Mode.DELAY) {
-      vertx.setTimer(DELAY_MS, id -> to.write(piece));
+      vertx.setTimer(DELAY_MS, id -> to.write(buffer));
     } else {
-      to.write(piece);
+      to.write(buffer);
     }
   }
 }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/HostProcess.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/HostProcess.java
@@ -13,34 +13,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One daemon as a process, started again by order. It signals only the process that it started.
- * Confined to one thread, but for its end for good.
+ * A daemon that runs as a separate process and can be restarted. Signals only the process that it
+ * started. Confined to one thread, except {@link #terminate}.
  */
 final class HostProcess {
-  /** The heap of a daemon; a few dozen fit into half of a machine's memory. */
+  /** Heap limit of a daemon; a few dozen of them fit into half of a machine's memory. */
   private static final String HEAP = "-Xmx64m";
 
-  /** The id of the line that a daemon writes when it begins to start. */
+  /** Id of the log line that a daemon writes when it starts. */
   private static final String STARTING = "FAWN0009";
 
   private final String name;
   private final Path settings;
   private final Path output;
 
-  /** When this host was told to stop, to be compared with the lines of its log. */
-  private final Path signals;
+  /** File of the times of the stop signals, to be compared with the host's log. */
+  private final Path signalLog;
 
   private volatile Process process;
-  private boolean over;
-  private boolean endExpected;
-  private long outputBefore;
+  private boolean closed;
+  private boolean exitExpected;
+  private long outputOffset;
 
-  /** Makes a daemon that has not started, and writes its settings into a folder. */
+  /** Creates a daemon that is not started, and writes its settings into a folder. */
   HostProcess(String name, Path folder, String settingsText) throws IOException {
     this.name = name;
     this.settings = folder.resolve(name + ".json");
     this.output = folder.resolve(name + ".log");
-    this.signals = folder.resolve(name + ".signals");
+    this.signalLog = folder.resolve(name + ".signals");
     Files.writeString(settings, settingsText);
   }
 
@@ -48,9 +48,9 @@
     return name;
   }
 
-  /** Starts a new incarnation; its output goes after that of the ones before. */
+  /** Starts a new incarnation unless terminated; its output is appended to that of earlier ones. */
   synchronized void start() throws IOException {
-    if (over) {
+    if (closed) {
       return;
     }
     ProcessBuilder builder =
@@ -60,8 +60,8 @@
             "-Xss256k",
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
-            // When the Java machine itself stood still, so that it is told from a host without time
-            // to run; written by a thread of its own, which nothing waits for.
+            // Logs pauses of the JVM, to tell them from a host that gets no processor time. Written
+            // asynchronously, so that the log itself blocks no thread.
             "-Xlog:async",
             "-Xlog:safepoint,gc:file=" + output + ".%p.jvm:time,uptimemillis",
             "-cp",
@@ -70,24 +70,24 @@
     builder.environment().put("FAWNDRUM_SETTINGS", settings.toString());
     File log = output.toFile();
     builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log));
-    outputBefore = Files.exists(output) ? Files.size(output) : 0;
+    outputOffset = Files.exists(output) ? Files.size(output) : 0;
     process = builder.start();
-    endExpected = false;
+    exitExpected = false;
   }
 
   /**
-   * Tells whether this incarnation has said that it is starting. Before that the Java machine
-   * itself starts, and a signal ends it (docs/OPEN-FINDINGS.md).
+   * Whether this incarnation has logged that it is starting. Before that the JVM itself starts, and
+   * a signal terminates it (docs/OPEN-FINDINGS.md).
    */
-  boolean begun() throws IOException {
+  boolean hasLoggedStart() throws IOException {
     byte[] all = Files.readAllBytes(output);
-    int from = (int) Math.min(outputBefore, all.length);
+    int from = (int) Math.min(outputOffset, all.length);
     String text = new String(all, from, all.length - from, StandardCharsets.UTF_8);
     return text.contains(STARTING);
   }
 
-  /** Tells whether some line of this host's log names a request. */
-  boolean logNames(String requestId) {
+  /** Whether this host's log mentions a request. */
+  boolean logMentions(String requestId) {
     try {
       return Files.readString(output).contains('"' + requestId + '"');
     } catch (IOException e) {
@@ -101,30 +101,31 @@
     new ProcessBuilder(List.of("kill", "-" + signal, id)).start().waitFor();
   }
 
-  /** Ends the process at once. */
+  /** Kills the process and waits for its exit. */
   void kill() throws InterruptedException {
-    endExpected = true;
+    exitExpected = true;
     process.destroyForcibly();
     process.waitFor();
   }
 
-  /** Ends the process at once, and starts no other from then on. Safe for all threads. */
-  synchronized void endForGood() {
-    over = true;
+  /** Kills the process and prevents further starts. Safe for all threads. */
+  synchronized void terminate() {
+    closed = true;
     if (process != null) {
       process.destroyForcibly().onExit().join();
     }
   }
 
   /**
-   * Asks the process to stop.
+   * Sends the process a termination signal.
    *
-   * @return whether it did so within the time given, in milliseconds; if not, it is killed
+   * @param withinMs time to wait for the exit, in milliseconds; after that the process is killed
+   * @return whether the process exited in time
    */
   boolean stop(long withinMs) throws InterruptedException, IOException {
-    endExpected = true;
-    String order = Instant.now() + " order to stop " + process.pid() + System.lineSeparator();
-    Files.writeString(signals, order, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+    exitExpected = true;
+    String line = Instant.now() + " stop signal to " + process.pid() + System.lineSeparator();
+    Files.writeString(signalLog, line, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     process.destroy();
     boolean stopped = process.waitFor(withinMs, TimeUnit.MILLISECONDS);
     if (!stopped) {
@@ -133,13 +134,13 @@
     return stopped;
   }
 
-  /** Returns the exit code of a process that ended. */
+  /** Returns the exit code of an exited process. */
   int exitCode() {
     return process.exitValue();
   }
 
-  /** Tells whether the process ended though nobody ended it. */
-  boolean endedByItself() {
-    return !endExpected && !process.isAlive();
+  /** Whether the process exited although it was neither killed nor signalled to stop. */
+  boolean exitedUnexpectedly() {
+    return !exitExpected && !process.isAlive();
   }
 }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/HostSettings.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/HostSettings.java
@@ -8,17 +8,17 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * The settings of the daemons of one site, as the text of their files. All daemons listen for each
- * other on one port, so each has a loopback address of its own for that. Every second host is in
- * the other of two zones. Immutable.
+ * Builds the settings files of the daemons of one site. All daemons use the same port for peer
+ * connections, so each has its own loopback address for them. Hosts alternate between two zones.
+ * Immutable.
  */
 final class HostSettings {
   private static final String LOOPBACK = "127.0.0.1";
 
-  /** How many hosts are named as seeds. */
+  /** Maximum number of hosts listed as seeds. */
   private static final int SEEDS = 2;
 
-  /** The capacity of the first host's link, in megabits a second; each other one has one more. */
+  /** Link capacity of the first host, in megabits per second; it grows by one with each host. */
   private static final int FIRST_LINK_MEGABITS = 100;
 
   private static final int MS_PER_SECOND = 1_000;
@@ -27,7 +27,7 @@
   private final String seeds;
   private final int peerPort;
 
-  /** Makes the settings of a number of hosts. */
+  /** Creates the settings of a number of hosts. */
   HostSettings(int hosts, FixedPorts ports) {
     this.ports = ports;
     this.peerPort = ports.next();
@@ -38,11 +38,11 @@
   }
 
   /**
-   * Returns the settings of a host; its readiness and its metrics get free addresses.
+   * Returns the text of a host's settings; readiness and metrics get free addresses.
    *
-   * @param host its number, from 0 on
-   * @param callers where its callers come in
-   * @param platform where it reaches the store
+   * @param host the host's index, from 0
+   * @param callers the address for callers
+   * @param platform the address of the store
    */
   String text(int host, HostAddress callers, HostAddress platform) {
     return String.format(
@@ -73,7 +73,7 @@
     return "host-" + host;
   }
 
-  /** Returns an address on loopback that nobody else listens on. */
+  /** Returns a free loopback address. */
   HostAddress freeAddress() {
     return new HostAddress(LOOPBACK, ports.next());
   }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/Probe.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/Probe.java
@@ -9,24 +9,24 @@
 import org.fawndrum.platform.standin.CallerStandin;
 import org.fawndrum.state.HostAddress;
 
-/** Asks one host, on a connection of its own, whether it serves a plain call. */
+/** Checks, on a separate connection, whether a host serves requests. */
 final class Probe {
-  /** How long a host may take to answer, in milliseconds. */
-  private static final long WITHIN_MS = 1_000;
+  /** Deadline of the request, in milliseconds. */
+  private static final long TIMEOUT_MS = 1_000;
 
   private static final int NOT_FOUND = 404;
 
   private Probe() {}
 
   /**
-   * Sends a request to a route that does not exist: a host that knows its configuration says so. It
-   * reaches no endpoint.
+   * Returns whether the host answers 404 to a request for a route that doesn't exist, which it does
+   * only once it has its configuration. The request reaches no endpoint.
    */
-  static Future<Boolean> call(Vertx vertx, HostAddress host) {
+  static Future<Boolean> isServing(Vertx vertx, HostAddress host) {
     HttpClientAgent client = vertx.createHttpClient();
     String id = UUID.randomUUID().toString();
     RequestOptions options =
-        new CallerStandin.Request(host, "/none/1", id, SoakSite.KEY, WITHIN_MS, 0).options();
+        new CallerStandin.Request(host, "/none/1", id, SoakSite.KEY, TIMEOUT_MS, 0).options();
     return client
         .request(options)
         .compose(request -> request.send())
--- a/org.fawndrum.soak/src/org/fawndrum/soak/Soak.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/Soak.java
@@ -8,157 +8,163 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plays one seed: starts a site, lets faults come while callers send, ends all faults, and says
- * what was broken. The thread that calls it carries the faults out; all else is on one event loop.
+ * Runs one seed: starts a site, injects faults while callers send requests, ends all faults and
+ * reports violations. The calling thread injects the faults; everything else runs on one event
+ * loop.
  */
 final class Soak {
-  /** How long hosts may take to serve after their start, and after all faults, in milliseconds. */
+  /** Time for hosts to serve after the start, and after all faults, in milliseconds. */
   private static final long RECOVERY_MS = 20_000;
 
-  /** The time between two looks at whether all hosts serve, in milliseconds. */
-  private static final long LOOK_MS = 250;
+  /** Poll interval, in milliseconds. */
+  private static final long POLL_MS = 250;
 
   /**
-   * The time for last answers after the last request, in milliseconds: above its deadline. It is
-   * longer only where a long prompt is still asked.
+   * Time for outstanding answers after the last request, in milliseconds: above the deadline of a
+   * request. Answers to long prompts are awaited separately.
    */
   private static final long LAST_ANSWERS_MS = Callers.DEADLINE_MS + 1_000;
 
-  private final Order order;
+  private final Config config;
   private final List<Fault> plan;
   private final SoakLoop loop = new SoakLoop();
-  private final Ledger ledger = new Ledger(SoakSite.REVOKE_MS);
+  private final PromiseChecker checker = new PromiseChecker(SoakSite.REVOKE_MS);
   private volatile SoakSite site;
-  private volatile boolean over;
+  private volatile boolean closed;
 
   /**
-   * What is to be played.
+   * What to run.
    *
-   * @param seed decides on the faults and the requests
-   * @param hosts how many daemons there are
-   * @param lengthMs how long faults begin, in milliseconds
-   * @param kinds the faults that come; none for a calm play
-   * @param folder where settings and logs of the daemons go
+   * @param seed seed of the faults and the requests
+   * @param hosts the number of daemons
+   * @param lengthMs the time span in which faults start, in milliseconds
+   * @param kinds the kinds of faults to inject; empty for a run without faults
+   * @param folder the folder for settings and logs of the daemons
    */
-  record Order(long seed, int hosts, long lengthMs, Set<Fault.Kind> kinds, Path folder) {}
+  record Config(long seed, int hosts, long lengthMs, Set<Fault.Kind> kinds, Path folder) {}
 
   /**
-   * What a seed showed.
+   * The result of a seed.
    *
-   * @param broken what was broken; empty when nothing was
-   * @param summary the requests and how they ended
+   * @param violations the violated promises; empty if none
+   * @param summary the number of requests and how they ended
    */
-  record Result(long seed, List<String> broken, String summary) {}
+  record Result(long seed, List<String> violations, String summary) {}
 
-  /** Makes a play of the faults that a seed plans. */
-  Soak(Order order) {
-    this(order, Fault.plan(order));
+  /** Creates a run with the faults that the seed plans. */
+  Soak(Config config) {
+    this(config, Fault.plan(config));
   }
 
-  /** Makes a play of chosen faults, which begin in their order. */
-  Soak(Order order, List<Fault> plan) {
-    this.order = order;
+  /** Creates a run with given faults. */
+  Soak(Config config, List<Fault> plan) {
+    this.config = config;
     this.plan = List.copyOf(plan);
   }
 
-  /** Returns the steady clock in milliseconds. */
+  /** Returns the monotonic clock in milliseconds. */
   static long nowMs() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Plays the seed. */
-  Result call() throws InterruptedException, IOException {
-    Thread atSignal = new Thread(this::endDaemons, "end of the soak");
-    Runtime.getRuntime().addShutdownHook(atSignal);
+  /** Runs the seed. */
+  Result run() throws InterruptedException, IOException {
+    Thread shutdownHook = new Thread(this::terminateDaemons, "end of the soak");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try {
-      return play();
+      return runSeed();
     } finally {
-      endDaemons();
+      terminateDaemons();
       loop.close();
-      dropHook(atSignal);
+      removeHook(shutdownHook);
     }
   }
 
-  /** Ends what the soak started; a signal may end the soak at any moment. */
-  private void endDaemons() {
-    over = true;
+  /** Kills the daemons; also called by the shutdown hook, at any point of the run. */
+  private void terminateDaemons() {
+    closed = true;
     SoakSite started = site;
     if (started != null) {
-      started.end();
+      started.close();
     }
   }
 
-  private static void dropHook(Thread hook) {
+  private static void removeHook(Thread hook) {
     try {
       Runtime.getRuntime().removeShutdownHook(hook);
     } catch (IllegalStateException e) {
-      // A signal ends this process, and the hook runs.
+      // The JVM is shutting down and runs the hook.
     }
   }
 
-  private Result play() throws InterruptedException, IOException {
+  private Result runSeed() throws InterruptedException, IOException {
     startSite();
     Callers callers =
-        loop.call(() -> new Callers(loop.vertx(), site.callers(), ledger, order.seed()));
-    untilAllServe("after the start");
+        loop.call(() -> new Callers(loop.vertx(), site.callerAddresses(), checker, config.seed()));
+    awaitAllServing("after the start");
     loop.run(callers::start);
-    playFaults(callers);
-    untilAllServe("after all faults");
+    injectFaults(callers);
+    awaitAllServing("after all faults");
     loop.run(callers::stop);
     Thread.sleep(LAST_ANSWERS_MS);
-    untilAnswered(callers);
+    awaitAnswers(callers);
     return loop.call(
-        () -> new Result(order.seed(), ledger.verdict(nowMs(), site::logsName), ledger.summary()));
+        () ->
+            new Result(
+                config.seed(),
+                checker.allViolations(nowMs(), site::logsMention),
+                checker.summary()));
   }
 
   private void startSite() throws InterruptedException, IOException {
-    site = loop.call(() -> new SoakSite(loop.vertx(), ledger, order.hosts(), order.folder()));
+    site = loop.call(() -> new SoakSite(loop.vertx(), checker, config.hosts(), config.folder()));
     loop.callAndAwait(site::start);
     for (HostProcess host : site.hosts()) {
       host.start();
-      if (over) {
-        host.endForGood();
+      if (closed) {
+        host.terminate();
       }
     }
   }
 
-  /** Waits for the answers of long prompts; their callers give up at their deadlines. */
-  private void untilAnswered(Callers callers) throws InterruptedException {
+  /** Waits for the answers to long prompts, at most until their deadline. */
+  private void awaitAnswers(Callers callers) throws InterruptedException {
     long untilMs = nowMs() + Callers.LONG_DEADLINE_MS;
-    while (loop.call(callers::open) > 0 && nowMs() < untilMs) {
-      Thread.sleep(LOOK_MS);
+    while (loop.call(callers::openRequests) > 0 && nowMs() < untilMs) {
+      Thread.sleep(POLL_MS);
     }
   }
 
-  /** Lets the faults of the seed come, or as much time pass, and ends them all. */
-  private void playFaults(Callers callers) throws InterruptedException, IOException {
-    FaultPlayer faults = new FaultPlayer(site, ledger, callers, loop);
+  /** Injects the planned faults, or waits if there are none, and ends all faults. */
+  private void injectFaults(Callers callers) throws InterruptedException, IOException {
+    FaultInjector faults = new FaultInjector(site, checker, callers, loop);
     if (plan.isEmpty()) {
-      Thread.sleep(order.lengthMs());
+      Thread.sleep(config.lengthMs());
     } else {
-      faults.play(plan);
+      faults.inject(plan);
     }
-    faults.heal();
+    faults.endAll();
   }
 
-  /** Waits until each host has served a request that was sent from now on. */
-  private void untilAllServe(String when) throws InterruptedException {
+  /** Waits until each host serves requests; records a violation if one doesn't in time. */
+  private void awaitAllServing(String when) throws InterruptedException {
     long untilMs = nowMs() + RECOVERY_MS;
-    for (int host = 0; host < order.hosts(); host++) {
-      if (!servesBy(host, untilMs)) {
+    for (int host = 0; host < config.hosts(); host++) {
+      if (!isServingBy(host, untilMs)) {
         String name = HostSettings.name(host);
-        loop.run(() -> ledger.broken(name + " does not serve " + when));
+        loop.run(() -> checker.recordViolation(name + " does not serve " + when));
         return;
       }
     }
   }
 
-  private boolean servesBy(int host, long untilMs) throws InterruptedException {
-    while (!loop.callAndAwait(() -> Probe.call(loop.vertx(), site.callers().get(host)))) {
+  private boolean isServingBy(int host, long untilMs) throws InterruptedException {
+    while (!loop.callAndAwait(
+        () -> Probe.isServing(loop.vertx(), site.callerAddresses().get(host)))) {
       if (nowMs() > untilMs) {
         return false;
       }
-      Thread.sleep(LOOK_MS);
+      Thread.sleep(POLL_MS);
     }
     return true;
   }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/SoakEndpoint.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/SoakEndpoint.java
@@ -18,97 +18,99 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * An endpoint behind a proxy, with the faults that it may have. What it runs is written into the
- * ledger. Confined to one event loop.
+ * A stand-in endpoint behind a proxy, with injectable faults. Reports the requests that it runs to
+ * the checker. Confined to one event loop.
  */
 final class SoakEndpoint implements EndpointStandin.Behaviour {
   private static final String ZONE = "zone-a";
 
-  /** How long a request that ends engines runs before, and the engine is gone, in milliseconds. */
-  private static final long DEADLY_MS = 50;
+  /** How long a request runs before it crashes the engine, in milliseconds. */
+  private static final long CRASH_DELAY_MS = 50;
 
-  private static final long GONE_MS = 500;
+  /** How long the engine is down after a crash, in milliseconds. */
+  private static final long DOWN_MS = 500;
 
-  /** The rest that it asks for when it turns requests away, in seconds and in milliseconds. */
-  private static final String REST = "2";
+  /** The backoff that it requests when it rejects requests, in seconds and in milliseconds. */
+  private static final String BACKOFF_S = "2";
 
-  private static final long REST_MS = 2_000;
+  private static final long BACKOFF_MS = 2_000;
 
-  /** What the paths of long prompts begin with. */
-  private static final String LONG = "/" + Callers.LONG + "/";
+  /** Path prefix of long prompts. */
+  private static final String LONG_PATH = "/" + Callers.LONG_ROUTE + "/";
 
-  /** How long an engine reads a long prompt, in milliseconds: from the shortest up, in steps. */
-  private static final long SHORTEST_READ_MS = 1_000;
+  /** Minimum prefill time of a long prompt, in milliseconds; steps are added to it. */
+  private static final long MIN_PREFILL_MS = 1_000;
 
-  private static final long READ_STEP_MS = 500;
+  private static final long PREFILL_STEP_MS = 500;
 
-  /** The time between two starts that it tells, in milliseconds; any would do. */
-  private static final long RESTART_MS = 1_000;
+  /** Difference between the start times of two incarnations, in milliseconds; arbitrary. */
+  private static final long INCARNATION_STEP_MS = 1_000;
 
-  private static final int READ_STEPS = 4;
+  private static final int PREFILL_STEPS = 4;
 
   private final Vertx vertx;
   private final NetClient client;
-  private final Ledger ledger;
+  private final PromiseChecker checker;
   private final String id;
   private final String service;
   private final int events;
   private final EndpointStandin standin;
-  private final Consumer<SoakEndpoint> back;
-  private FaultProxy link;
-  private HostAddress at;
-  private HostAddress linkAt;
+  private final Consumer<SoakEndpoint> onRestart;
+  private FaultProxy proxy;
+  private HostAddress ownAddress;
+  private HostAddress proxyAddress;
   private boolean losesAnswers;
-  private boolean sheds;
-  private boolean asksForRest;
-  private boolean harmed;
-  private boolean silent;
-  private boolean gone;
+  private boolean rejects;
+  private boolean requestsBackoff;
+  private boolean impaired;
+  private boolean hung;
+  private boolean down;
   private boolean inUse = true;
-  private final Map<EndpointRun, Boolean> open = new HashMap<>();
-  private final List<EndpointRun> answered = new ArrayList<>();
+  private final Map<EndpointRun, Boolean> openRuns = new HashMap<>();
+  private final List<EndpointRun> completedRuns = new ArrayList<>();
 
   /**
-   * Makes an endpoint that does not listen yet.
+   * Creates an endpoint that does not listen yet.
    *
    * @param client opens the connections of its proxy
-   * @param uses shared by all endpoints
-   * @param id its name, and the key of its record in the store
-   * @param service the service that it belongs to
-   * @param events how many events it streams; 0 for plain answers
-   * @param back hears when it listens again after a crash
+   * @param uses the ticket usage, shared by all endpoints
+   * @param id the name, and the key of its entry in the store
+   * @param service the service to which it belongs
+   * @param events the number of events in a stream; 0 for plain answers
+   * @param onRestart called when it listens again after a crash
    */
   SoakEndpoint(
       Vertx vertx,
       NetClient client,
-      Ledger ledger,
+      PromiseChecker checker,
       TicketUses uses,
       String id,
       String service,
       int events,
-      Consumer<SoakEndpoint> back) {
+      Consumer<SoakEndpoint> onRestart) {
     this.vertx = vertx;
     this.client = client;
-    this.ledger = ledger;
+    this.checker = checker;
     this.id = id;
     this.service = service;
     this.events = events;
-    this.back = back;
+    this.onRestart = onRestart;
     this.standin = new EndpointStandin(vertx, id, events, this, uses);
   }
 
-  /** Listens, with its proxy. */
+  /** Starts the endpoint and its proxy. */
   Future<Void> listen() {
-    return standin.listen().compose(this::listenBefore);
+    return standin.listen().compose(this::listenProxy);
   }
 
-  private Future<Void> listenBefore(HostAddress address) {
-    at = address;
-    link = new FaultProxy(vertx, client, address);
-    return link.listen()
+  private Future<Void> listenProxy(HostAddress address) {
+    ownAddress = address;
+    proxy = new FaultProxy(vertx, client, address);
+    return proxy
+        .listen()
         .map(
-            proxyAddress -> {
-              linkAt = proxyAddress;
+            listening -> {
+              proxyAddress = listening;
               return null;
             });
   }
@@ -117,167 +119,170 @@
     return id;
   }
 
-  /** Returns where it listens itself, behind its proxy. */
+  /** Returns the endpoint's own address, behind the proxy. */
   HostAddress address() {
-    return at;
+    return ownAddress;
   }
 
-  /** Returns its record in the store, which names the address of its proxy. */
+  /** Returns the entry for the store, with the address of the proxy. */
   String entry(String state) {
-    return standin.entry(service, ZONE, state).replace(at.toString(), linkAt.toString());
+    return standin
+        .entry(service, ZONE, state)
+        .replace(ownAddress.toString(), proxyAddress.toString());
   }
 
-  /** Chooses what happens to the bytes of its connections from now on. */
-  void link(FaultProxy.Mode mode) {
-    if (!silent) {
-      link.mode(mode);
-      setHarmed(mode != FaultProxy.Mode.PASS);
+  /** Sets the mode of the proxy from now on; has no effect once the endpoint hangs. */
+  void setLinkMode(FaultProxy.Mode mode) {
+    if (!hung) {
+      proxy.mode(mode);
+      setImpaired(mode != FaultProxy.Mode.PASS);
     }
   }
 
-  private void setHarmed(boolean isHarmed) {
-    if (isHarmed) {
-      open.keySet().forEach(EndpointRun::harmed);
-      ledger.notices().linkHarmed(id);
+  private void setImpaired(boolean isNowImpaired) {
+    if (isNowImpaired) {
+      openRuns.keySet().forEach(EndpointRun::markImpaired);
+      checker.notices().recordLinkImpaired(id);
     }
-    if (isHarmed && !harmed) {
-      ledger.stops().harmBegan(Soak.nowMs());
-    } else if (harmed && !isHarmed) {
-      ledger.stops().harmEnded(Soak.nowMs());
+    if (isNowImpaired && !impaired) {
+      checker.shutdowns().recordImpairmentStart(Soak.nowMs());
+    } else if (impaired && !isNowImpaired) {
+      checker.shutdowns().recordImpairmentEnd(Soak.nowMs());
     }
-    harmed = isHarmed;
+    impaired = isNowImpaired;
   }
 
   /**
-   * Answers nothing any more, for good, and leaves its connections open. Its memory is gone, and
-   * what it worked on is over.
+   * Permanently stops answering and leaves its connections open. Its open requests are aborted and
+   * its memory is released.
    */
-  void fallSilent() {
-    forget();
-    ledger.memory().gone(id, Soak.nowMs());
-    link(FaultProxy.Mode.SILENT);
-    silent = true;
+  void hang() {
+    dropWork();
+    checker.reservations().recordEngineEnd(id, Soak.nowMs());
+    setLinkMode(FaultProxy.Mode.DROP_ALL);
+    hung = true;
   }
 
-  /** Drops what it works on and leaves the connections open without an answer; it serves on. */
-  void forget() {
+  /** Drops open requests without an answer, leaves connections open and continues to serve. */
+  void dropWork() {
     long nowMs = Soak.nowMs();
-    open.keySet().forEach(run -> run.brokenOff(nowMs));
-    open.clear();
+    openRuns.keySet().forEach(run -> run.abort(nowMs));
+    openRuns.clear();
     standin.forget();
   }
 
-  /** Starts again under its id: it holds and knows nothing of before, and tells a later start. */
-  void startAgain() {
-    forget();
-    ledger.memory().gone(id, Soak.nowMs());
-    ledger.notices().over(id);
-    standin.startAgain(standin.bornMs() + RESTART_MS);
+  /** Restarts under the same id without the previous state, as a later incarnation. */
+  void restart() {
+    dropWork();
+    checker.reservations().recordEngineEnd(id, Soak.nowMs());
+    checker.notices().recordRestart(id);
+    standin.startAgain(standin.bornMs() + INCARNATION_STEP_MS);
   }
 
-  /** Ends with all that it runs, and is back after a while. */
+  /** Crashes with all open requests, and restarts after a while. */
   private void crash(String path) {
-    if (silent || gone) {
+    if (hung || down) {
       return;
     }
-    if (!harmed && inUse) {
-      ledger.crashes().crashed(path, Soak.nowMs());
+    if (!impaired && inUse) {
+      checker.crashes().recordCrash(path, Soak.nowMs());
     }
-    gone = true;
-    answered.forEach(run -> run.endpointEnded(Soak.nowMs()));
-    answered.clear();
-    startAgain();
-    link.refuse(GONE_MS)
+    down = true;
+    completedRuns.forEach(run -> run.endpointCrashed(Soak.nowMs()));
+    completedRuns.clear();
+    restart();
+    proxy
+        .refuseFor(DOWN_MS)
         .onSuccess(
             v -> {
-              gone = false;
-              back.accept(this);
+              down = false;
+              onRestart.accept(this);
             });
   }
 
-  /** Chooses whether its entry says that it may be used. */
-  void inUse(boolean isInUse) {
-    inUse = isInUse;
+  /** Sets whether the endpoint is in use as far as hosts can see; crashes count only then. */
+  void setInUse(boolean isNowInUse) {
+    inUse = isNowInUse;
   }
 
-  /** Says in every answer that it leaves, until it starts again; its entry does not say it. */
-  void sayLeaving() {
+  /** Signals in each answer that it is shutting down, until it restarts; its entry doesn't. */
+  void announceDraining() {
     inUse = false;
     standin.sayLeaving();
   }
 
-  /** Chooses whether it turns requests away and asks their hosts for rest. */
-  void asksForRest(boolean asks) {
-    asksForRest = asks;
+  /** Sets whether it rejects requests and asks the hosts to back off. */
+  void setRequestsBackoff(boolean requests) {
+    requestsBackoff = requests;
   }
 
-  boolean isSilent() {
-    return silent;
+  boolean isHung() {
+    return hung;
   }
 
-  /** Tells whether it reads a long prompt with memory of others, and is sound. */
-  boolean readsLongPrompt() {
-    return !silent && !harmed && open.containsValue(true);
+  /** Whether it prefills a long prompt with helper engines and has no fault of its own. */
+  boolean prefillsLongPrompt() {
+    return !hung && !impaired && openRuns.containsValue(true);
   }
 
-  /** Chooses whether it runs requests and closes the connection instead of answering. */
-  void losesAnswers(boolean loses) {
+  /** Sets whether it runs requests and closes the connection instead of answering. */
+  void setLosesAnswers(boolean loses) {
     losesAnswers = loses;
   }
 
-  /** Chooses whether it turns requests away without running them. */
-  void sheds(boolean turnsAway) {
-    sheds = turnsAway;
+  /** Sets whether it rejects requests without running them. */
+  void setRejects(boolean isRejecting) {
+    rejects = isRejecting;
   }
 
   @Override
-  public void ordered(ReserveMessage order) {
-    if (order.operation().equals("reserve")) {
-      ledger.memory().reserved(order.ticket(), id, order.holdMs(), Soak.nowMs());
+  public void ordered(ReserveMessage command) {
+    if (command.operation().equals("reserve")) {
+      checker.reservations().recordReserved(command.ticket(), id, command.holdMs(), Soak.nowMs());
     } else {
-      ledger.memory().released(order.ticket(), Soak.nowMs());
+      checker.reservations().recordReleased(command.ticket(), Soak.nowMs());
     }
   }
 
   @Override
   public boolean answer(EndpointStandin endpoint, HttpServerRequest request, int number) {
-    if (gone) {
-      // It came over a connection that is about to break; nobody is there any more.
+    if (down) {
+      // The connection is about to be closed by the crash; a crashed endpoint must not answer.
       request.connection().close();
       return true;
     }
     EndpointStandin.Seen seen = EndpointStandin.seen(request);
     EndpointRun run = begin(seen.requestId(), request);
-    ledger.notices().arrived(seen.requestId(), id, Soak.nowMs());
-    if (asksForRest) {
-      endpoint.turnAwayFor(request, REST);
-      if (!harmed) {
-        ledger.notices().askedForRest(seen.requestId(), id, REST_MS, Soak.nowMs());
+    checker.notices().recordArrival(seen.requestId(), id, Soak.nowMs());
+    if (requestsBackoff) {
+      endpoint.turnAwayFor(request, BACKOFF_S);
+      if (!impaired) {
+        checker.notices().recordBackoff(seen.requestId(), id, BACKOFF_MS, Soak.nowMs());
       }
       return true;
     }
-    if (sheds) {
+    if (rejects) {
       endpoint.turnAway(request);
       return true;
     }
-    ledger.ran(seen.requestId(), seen.uri(), seen.workspace());
-    if (request.path().startsWith(Callers.DEADLY)) {
-      ledger.crashes().ran(seen.requestId(), seen.uri(), Soak.nowMs());
-      vertx.setTimer(DEADLY_MS, timer -> crash(seen.uri()));
+    checker.recordRun(seen.requestId(), seen.uri(), seen.workspace());
+    if (request.path().startsWith(Callers.CRASHING_PATH)) {
+      checker.crashes().recordRun(seen.requestId(), seen.uri(), Soak.nowMs());
+      vertx.setTimer(CRASH_DELAY_MS, timer -> crash(seen.uri()));
       return true;
     }
     if (losesAnswers) {
-      run.brokenOff(Soak.nowMs());
+      run.abort(Soak.nowMs());
       request.connection().close();
       return true;
     }
-    boolean reads = request.path().startsWith(LONG) && seen.lastEventId() == null;
-    if (reads) {
-      long readMs = SHORTEST_READ_MS + number % READ_STEPS * READ_STEP_MS;
+    boolean prefills = request.path().startsWith(LONG_PATH) && seen.lastEventId() == null;
+    if (prefills) {
+      long prefillMs = MIN_PREFILL_MS + number % PREFILL_STEPS * PREFILL_STEP_MS;
       BooleanSupplier remembered = standin.remembered();
-      vertx.setTimer(readMs, timer -> answerLate(endpoint, request, remembered));
+      vertx.setTimer(prefillMs, timer -> answerLate(endpoint, request, remembered));
     }
-    return reads;
+    return prefills;
   }
 
   private void answerLate(
@@ -289,27 +294,27 @@
 
   private EndpointRun begin(String requestId, HttpServerRequest request) {
     List<String> tickets = TicketUses.tickets(request.getHeader("Helpers"));
-    EndpointRun run = ledger.arrived(requestId, tickets);
-    if (harmed) {
-      run.harmed();
+    EndpointRun run = checker.recordArrival(requestId, tickets);
+    if (impaired) {
+      run.markImpaired();
     }
-    open.put(run, !tickets.isEmpty());
+    openRuns.put(run, !tickets.isEmpty());
     HttpServerResponse response = request.response();
     standin.whenHeadEnds(
         response,
         () -> {
-          if (response.getStatusCode() == Ledger.SUCCESS) {
-            run.answerBegan();
+          if (response.getStatusCode() == PromiseChecker.SUCCESS) {
+            run.responseStarted();
           }
         });
-    response.endHandler(v -> end(run));
-    response.closeHandler(v -> end(run));
+    response.endHandler(v -> complete(run));
+    response.closeHandler(v -> complete(run));
     return run;
   }
 
-  private void end(EndpointRun run) {
-    open.remove(run);
-    run.over(Soak.nowMs());
-    answered.add(run);
+  private void complete(EndpointRun run) {
+    openRuns.remove(run);
+    run.complete(Soak.nowMs());
+    completedRuns.add(run);
   }
 }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/SoakFailedException.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/SoakFailedException.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.soak;
 
-/** The soak itself could not go on; says nothing about the daemons. */
+/** Thrown when the soak itself cannot continue, independently of the daemons under test. */
 final class SoakFailedException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/org.fawndrum.soak/src/org/fawndrum/soak/SoakLoop.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/SoakLoop.java
@@ -10,22 +10,22 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The one event loop of a soak, and the way for another thread to have something done on it. Safe
- * for all threads, but the methods that wait must not be called on the event loop itself.
+ * The event loop of a soak, with methods to run tasks on it from other threads. Safe for all
+ * threads, but the methods that wait must not be called on the event loop itself.
  */
 final class SoakLoop {
-  /** How long a step on the event loop may take, in seconds. */
-  private static final long STEP_S = 20;
+  /** Maximum duration of a task on the event loop, in seconds. */
+  private static final long TIMEOUT_S = 20;
 
   private final Vertx vertx =
       Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setPreferNativeTransport(true));
 
-  /** Returns what makes servers, clients and timers on the event loop. */
+  /** Returns the factory of servers, clients and timers on the event loop. */
   Vertx vertx() {
     return vertx;
   }
 
-  /** Does something on the event loop and returns what it gave. */
+  /** Runs a task on the event loop and returns its result. */
   <T> T call(Callable<T> action) throws InterruptedException {
     return await(
         Future.future(
@@ -40,7 +40,7 @@
                     })));
   }
 
-  /** Does something on the event loop and waits for its end. */
+  /** Runs a task on the event loop and waits for its completion. */
   void run(Runnable action) throws InterruptedException {
     call(
         () -> {
@@ -49,19 +49,19 @@
         });
   }
 
-  /** Begins something on the event loop and returns what it gave in the end. */
+  /** Starts an asynchronous task on the event loop and returns its final result. */
   <T> T callAndAwait(Callable<Future<T>> action) throws InterruptedException {
     return await(call(action));
   }
 
-  /** Ends the event loop and all that was made on it. */
+  /** Closes the event loop and everything created on it. */
   void close() {
     vertx.close();
   }
 
   private static <T> T await(Future<T> future) throws InterruptedException {
     try {
-      return future.toCompletionStage().toCompletableFuture().get(STEP_S, TimeUnit.SECONDS);
+      return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new SoakFailedException("a step on the event loop", e);
     }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/SoakMain.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/SoakMain.java
@@ -9,38 +9,38 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
 
-/** Plays seeds one after the other. Exit codes: 0 none broke a promise, 1 one did, 2 usage. */
+/** Runs seeds one after the other. Exit codes: 0 no violation, 1 violations, 2 wrong usage. */
 public final class SoakMain {
-  private static final int BROKEN = 1;
+  private static final int VIOLATION = 1;
   private static final int USAGE = 2;
   private static final long MS_PER_SECOND = 1_000;
 
   @Option(name = "--from", usage = "the first seed")
-  private long from = 1;
+  private long firstSeed = 1;
 
-  @Option(name = "--seeds", usage = "how many seeds")
-  private int seeds = 1;
+  @Option(name = "--seeds", usage = "number of seeds")
+  private int seedCount = 1;
 
-  @Option(name = "--seconds", usage = "how long faults come in each")
+  @Option(name = "--seconds", usage = "time span in which faults start, per seed")
   private int seconds = 20;
 
-  @Option(name = "--hosts", usage = "how many daemons")
+  @Option(name = "--hosts", usage = "number of daemons")
   private int hosts = 4;
 
-  @Option(name = "--calm", usage = "no faults, to see what daemons cost")
+  @Option(name = "--calm", usage = "no faults, to measure what daemons use")
   private boolean calm;
 
   @Option(
       name = "--kinds",
-      usage = "the faults of a seed as it was first played: 1 to 3, or 4 for all")
+      usage = "kinds of faults with which a seed was first run: 1 to 3, or 4 for all")
   private int generation = Fault.GENERATIONS.size();
 
-  @Option(name = "--keep", usage = "where settings and logs of the daemons are kept")
-  private Path keep = Path.of("target", "soak");
+  @Option(name = "--keep", usage = "folder for settings and logs of the daemons")
+  private Path outputFolder = Path.of("target", "soak");
 
   private SoakMain() {}
 
-  /** Plays the seeds that the arguments name. */
+  /** Runs the seeds given by the arguments. */
   public static void main(String[] args) throws InterruptedException, IOException {
     SoakMain main = new SoakMain();
     CmdLineParser parser = new CmdLineParser(main);
@@ -51,20 +51,20 @@
       parser.printUsage(System.err);
       System.exit(USAGE);
     }
-    System.exit(main.play() ? 0 : BROKEN);
+    System.exit(main.runSeeds() ? 0 : VIOLATION);
   }
 
-  private boolean play() throws InterruptedException, IOException {
-    boolean whole = true;
-    for (long seed = from; seed < from + seeds; seed++) {
-      Path folder = Files.createDirectories(keep.resolve("seed-" + seed));
+  private boolean runSeeds() throws InterruptedException, IOException {
+    boolean passed = true;
+    for (long seed = firstSeed; seed < firstSeed + seedCount; seed++) {
+      Path folder = Files.createDirectories(outputFolder.resolve("seed-" + seed));
       Set<Fault.Kind> kinds = calm ? Set.of() : Fault.GENERATIONS.get(generation - 1);
       Soak.Result result =
-          new Soak(new Soak.Order(seed, hosts, seconds * MS_PER_SECOND, kinds, folder)).call();
+          new Soak(new Soak.Config(seed, hosts, seconds * MS_PER_SECOND, kinds, folder)).run();
       System.out.println("seed " + seed + ": " + result.summary());
-      result.broken().forEach(what -> System.out.println("  broken: " + what));
-      whole &= result.broken().isEmpty();
+      result.violations().forEach(violation -> System.out.println("  broken: " + violation));
+      passed &= result.violations().isEmpty();
     }
-    return whole;
+    return passed;
   }
 }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/SoakSite.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/SoakSite.java
@@ -24,105 +24,111 @@
 import org.fawndrum.state.HostAddress;
 
 /**
- * A store, endpoints and daemons, with a proxy before the store for each daemon and one before each
- * endpoint. Its methods are called on the event loop, but for those of the processes.
+ * A store, endpoints and daemons, with one proxy per daemon in front of the store and one in front
+ * of each endpoint. Methods are called on the event loop, except those that use the daemons'
+ * processes.
  */
 final class SoakSite {
-  /** The key that stays. */
+  /** The caller key that is never revoked. */
   static final String KEY = "key-1";
 
-  /** The key that may be taken away. */
-  static final String VICTIM_KEY = "key-2";
+  /** The caller key that may be revoked. */
+  static final String REVOCABLE_KEY = "key-2";
 
-  /** The workspace that both keys belong to. */
+  /** The workspace of both keys. */
   static final String WORKSPACE = "desk";
 
-  /** How many events a whole stream has. */
+  /** Number of events in a complete stream. */
   private static final int EVENTS = 6;
 
-  /** What a whole stream has as its body. */
+  /** Body of a complete stream. */
   static final String STREAM =
       IntStream.rangeClosed(1, EVENTS)
           .mapToObj(event -> "id: " + event + "\ndata: text " + event + "\n\n")
           .collect(Collectors.joining());
 
-  /** What a whole plain answer has as its body. */
+  /** Body of a complete plain answer. */
   static final String PLAIN = "answer of service";
 
-  /** After how long a revoked key must not run anything, in milliseconds. */
+  /** Time after which requests with a revoked key must not run, in milliseconds. */
   static final long REVOKE_MS = 5_000;
 
-  /** The time between the order to stop and the end, in milliseconds. */
+  /** Grace period from the stop signal to the kill, in milliseconds. */
   static final long GRACE_MS = 8_000;
 
   private static final int ENGINES = 3;
 
-  /** Engines that come after the service, so that the faults of a seed strike whom they did. */
-  private static final int MORE_ENGINES = 2;
+  /** Engines added after the service, so that the targets of a seed's faults don't change. */
+  private static final int EXTRA_ENGINES = 2;
 
-  /** The memory of an engine, in tokens: small, so that engines soon need that of others. */
+  /** Memory of an engine, in tokens: small, so that long prompts need helper engines. */
   private static final String MEMORY = "\"KvCapacity\":100000";
 
-  private static final String USUAL_MEMORY = "\"KvCapacity\":232000";
+  private static final String DEFAULT_MEMORY = "\"KvCapacity\":232000";
   private static final String OPERATORS = "keyed.op";
   private static final String ENDPOINTS = "keyed.servers";
   private static final String SERVICE = "service";
   private static final String READY = "ready";
-  private static final String LEAVING = "draining";
+  private static final String DRAINING = "draining";
 
-  /** What another writer may leave in place of an entry. */
-  private static final String[] NO_ENTRIES = {
+  /** Contents with which another writer may overwrite an entry. */
+  private static final String[] INVALID_ENTRIES = {
     "{\"Service\":\"pool\"}", "{\"Service\":7,\"State\":", "no entry", "[]"
   };
 
-  /** For how much longer than other faults an endpoint leaves: it must outlast its bound. */
-  private static final long LEAVES_MS = 2_500;
+  /**
+   * Additional duration of a draining notice, in milliseconds: it must last longer than the time
+   * within which hosts must react.
+   */
+  private static final long EXTRA_DRAINING_MS = 2_500;
 
-  /** How often a copy of the store is taken, in milliseconds, and how many are kept. */
+  /** Interval between copies of the store, in milliseconds. */
   private static final long COPY_MS = 500;
 
+  /** Number of copies of the store that are kept. */
   private static final int COPIES = 6;
 
-  /** The time from one endpoint to the next that writes its entry again, in milliseconds. */
-  private static final long WRITTEN_AGAIN_MS = 250;
+  /** Interval at which endpoints rewrite their entries after a restore, in milliseconds. */
+  private static final long REWRITE_GAP_MS = 250;
 
-  /** How long a proxy tries to connect, in milliseconds. */
-  private static final int CONNECT_MS = 1_000;
+  /** Connect timeout of a proxy, in milliseconds. */
+  private static final int CONNECT_TIMEOUT_MS = 1_000;
 
   private final Vertx vertx;
   private final NetClient client;
-  private final Ledger ledger;
-  private final int count;
+  private final PromiseChecker checker;
+  private final int hostCount;
   private final Path folder;
   private final FixedPorts ports = new FixedPorts();
   private final StoreStandin store;
-  private final TicketUses uses = new TicketUses();
+  private final TicketUses ticketUsage = new TicketUses();
   private final List<FaultProxy> storeLinks = new ArrayList<>();
   private final List<SoakEndpoint> endpoints = new ArrayList<>();
   private final List<HostProcess> hosts = new CopyOnWriteArrayList<>();
-  private final List<HostAddress> callers = new ArrayList<>();
-  private final Map<SoakEndpoint, String> saidLast = new HashMap<>();
+  private final List<HostAddress> callerAddresses = new ArrayList<>();
+  private final Map<SoakEndpoint, String> lastState = new HashMap<>();
   private final Deque<StoreStandin.Copy> copies = new ArrayDeque<>();
   private boolean revoked;
   private long version;
-  private int spoiled;
+  private int overwrittenCount;
 
-  SoakSite(Vertx vertx, Ledger ledger, int hosts, Path folder) {
+  SoakSite(Vertx vertx, PromiseChecker checker, int hosts, Path folder) {
     this.vertx = vertx;
-    this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_MS));
-    this.ledger = ledger;
-    this.count = hosts;
+    this.client =
+        vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS));
+    this.checker = checker;
+    this.hostCount = hosts;
     this.folder = folder;
     this.store = new StoreStandin(vertx);
   }
 
-  /** Starts store, endpoints and proxies, and makes the hosts. */
+  /** Starts the store, endpoints and proxies, and creates the hosts. */
   Future<Void> start() {
     for (int i = 0; i < ENGINES; i++) {
       endpoints.add(endpoint("engine-" + i, "pool", EVENTS));
     }
     endpoints.add(endpoint(SERVICE, "orders", 0));
-    for (int i = ENGINES; i < ENGINES + MORE_ENGINES; i++) {
+    for (int i = ENGINES; i < ENGINES + EXTRA_ENGINES; i++) {
       endpoints.add(endpoint("engine-" + i, "pool", EVENTS));
     }
     Future<Void> started = Future.succeededFuture();
@@ -134,17 +140,24 @@
 
   private SoakEndpoint endpoint(String id, String service, int events) {
     return new SoakEndpoint(
-        vertx, client, ledger, uses, id, service, events, back -> endpointSays(back, READY));
+        vertx,
+        client,
+        checker,
+        ticketUsage,
+        id,
+        service,
+        events,
+        restarted -> publishEntry(restarted, READY));
   }
 
   private Future<List<HostAddress>> startLinks(HostAddress storeAt) {
-    configure();
-    endpoints.forEach(endpoint -> endpointSays(endpoint, READY));
+    publishConfiguration();
+    endpoints.forEach(endpoint -> publishEntry(endpoint, READY));
     keepCopy();
     vertx.setPeriodic(COPY_MS, timer -> keepCopy());
     List<HostAddress> links = new ArrayList<>();
     Future<Void> started = Future.succeededFuture();
-    for (int i = 0; i < count; i++) {
+    for (int i = 0; i < hostCount; i++) {
       FaultProxy link = new FaultProxy(vertx, client, storeAt);
       storeLinks.add(link);
       started =
@@ -160,10 +173,10 @@
   }
 
   private Void makeHosts(List<HostAddress> links) {
-    HostSettings settings = new HostSettings(count, ports);
-    for (int host = 0; host < count; host++) {
+    HostSettings settings = new HostSettings(hostCount, ports);
+    for (int host = 0; host < hostCount; host++) {
       HostAddress at = settings.freeAddress();
-      callers.add(at);
+      callerAddresses.add(at);
       String text = settings.text(host, at, links.get(host));
       try {
         hosts.add(new HostProcess(HostSettings.name(host), folder, text));
@@ -174,87 +187,89 @@
     return null;
   }
 
-  private void endpointSays(SoakEndpoint endpoint, String state) {
-    if (!endpoint.isSilent()) {
-      saidLast.put(endpoint, state);
+  private void publishEntry(SoakEndpoint endpoint, String state) {
+    if (!endpoint.isHung()) {
+      lastState.put(endpoint, state);
       store.put(ENDPOINTS, endpoint.id(), endpoint.entry(state));
     }
   }
 
-  /** Brings a newer configuration into the store. */
-  void configure() {
+  /** Publishes a newer version of the configuration to the store. */
+  void publishConfiguration() {
     version += 2;
-    String[] keys = revoked ? new String[] {KEY} : new String[] {KEY, VICTIM_KEY};
+    String[] keys = revoked ? new String[] {KEY} : new String[] {KEY, REVOCABLE_KEY};
     String configuration = StandinSite.configuration(version, keys);
-    store.put(OPERATORS, "config", configuration.replace(USUAL_MEMORY, MEMORY));
+    store.put(OPERATORS, "config", configuration.replace(DEFAULT_MEMORY, MEMORY));
   }
 
-  /** Takes the one key away. */
-  void revoke() {
+  /** Revokes the revocable key. */
+  void revokeKey() {
     revoked = true;
-    configure();
-    ledger.revoked(VICTIM_KEY, Soak.nowMs());
+    publishConfiguration();
+    checker.recordRevocation(REVOCABLE_KEY, Soak.nowMs());
   }
 
-  /** Begins or ends a fault of the store or an endpoint; those of processes are not for here. */
+  /** Starts or ends a fault of the store or an endpoint, but not of a process. */
   void apply(Fault fault, boolean begins) {
     SoakEndpoint endpoint = endpoints.get(fault.target() % endpoints.size());
     FaultProxy.Mode mode = begins ? fault.mode() : FaultProxy.Mode.PASS;
     switch (fault.kind()) {
       case STORE_BUSY -> store.mode(begins ? StoreStandin.Mode.BUSY : StoreStandin.Mode.SERVING);
-      case STORE_SILENT ->
+      case STORE_UNRESPONSIVE ->
           store.mode(begins ? StoreStandin.Mode.SILENT : StoreStandin.Mode.SERVING);
-      case STORE_FORGETS -> store.forgetAll();
+      case STORE_EXPIRES_RECORDS -> store.forgetAll();
       case STORE_LINK -> storeLinks.get(fault.target() % storeLinks.size()).mode(mode);
-      case ENDPOINT_LINK -> endpoint.link(mode);
-      case ANSWERS_LOST -> endpoint.losesAnswers(begins);
-      case SHEDS -> endpoint.sheds(begins);
-      case LEAVES -> leave(endpoint, begins);
-      case CONFIGURE -> configure();
-      case REVOKE -> revoke();
-      case ENGINE_SILENT -> silence(endpoint);
-      case ENGINE_FORGETS -> engineInsteadOf(endpoint).ifPresent(SoakEndpoint::forget);
-      case ENGINE_RESTARTS -> engineInsteadOf(endpoint).ifPresent(this::restart);
-      case ENTRY_SPOILED -> spoil(endpoint, begins);
-      case SAYS_LEAVING -> sayLeaving(endpoint, begins);
-      case ASKS_FOR_REST -> endpoint.asksForRest(begins);
-      case STORE_GOES_BACK -> goBack(begins);
+      case ENDPOINT_LINK -> endpoint.setLinkMode(mode);
+      case ANSWERS_LOST -> endpoint.setLosesAnswers(begins);
+      case REJECTS -> endpoint.setRejects(begins);
+      case DRAINS -> drain(endpoint, begins);
+      case CONFIGURE -> publishConfiguration();
+      case REVOKE_KEY -> revokeKey();
+      case ENGINE_HANGS -> hangEngine(endpoint);
+      case ENGINE_DROPS_WORK -> prefillingEngineOr(endpoint).ifPresent(SoakEndpoint::dropWork);
+      case ENGINE_RESTARTS -> prefillingEngineOr(endpoint).ifPresent(this::restart);
+      case ENTRY_OVERWRITTEN -> overwriteEntry(endpoint, begins);
+      case DRAINING_NOTICE -> announceDraining(endpoint, begins);
+      case BACKOFF_NOTICE -> endpoint.setRequestsBackoff(begins);
+      case STORE_RESTORED -> restoreStore(begins);
       default -> throw new SoakFailedException("fault " + fault, null);
     }
   }
 
-  /** Lets an engine fall silent for good: one that reads a long prompt if there is one. */
-  private void silence(SoakEndpoint otherwise) {
-    long silent = endpoints.stream().filter(SoakEndpoint::isSilent).count();
-    if (silent < Fault.MOST_SILENT) {
-      engineInsteadOf(otherwise).ifPresent(SoakEndpoint::fallSilent);
+  /** Makes an engine hang permanently, preferably one that prefills a long prompt. */
+  private void hangEngine(SoakEndpoint otherwise) {
+    long hung = endpoints.stream().filter(SoakEndpoint::isHung).count();
+    if (hung < Fault.MAX_HUNG_ENGINES) {
+      prefillingEngineOr(otherwise).ifPresent(SoakEndpoint::hang);
     }
   }
 
   private void restart(SoakEndpoint engine) {
-    engine.startAgain();
-    endpointSays(engine, READY);
+    engine.restart();
+    publishEntry(engine, READY);
   }
 
-  /** Lets an endpoint say in its answers alone that it leaves; its next start is there again. */
-  private void sayLeaving(SoakEndpoint endpoint, boolean begins) {
+  /**
+   * Makes an endpoint signal only in its answers that it is shutting down; at the end restarts it.
+   */
+  private void announceDraining(SoakEndpoint endpoint, boolean begins) {
     if (begins) {
-      endpoint.sayLeaving();
+      endpoint.announceDraining();
       return;
     }
     vertx.setTimer(
-        LEAVES_MS,
+        EXTRA_DRAINING_MS,
         timer -> {
-          endpoint.inUse(true);
+          endpoint.setInUse(true);
           restart(endpoint);
         });
   }
 
   /**
-   * The store is away, and comes back from a copy. The operator writes the configuration again at
-   * once, the endpoints write their entries one after the other.
+   * Makes the store unavailable, or restores it from the oldest copy. The configuration is
+   * published again at once; the endpoints rewrite their entries one after the other.
    */
-  private void goBack(boolean begins) {
+  private void restoreStore(boolean begins) {
     if (begins) {
       store.mode(StoreStandin.Mode.BUSY);
       return;
@@ -262,12 +277,12 @@
     store.goBackTo(copies.getFirst());
     copies.clear();
     copies.add(store.copy());
-    configure();
+    publishConfiguration();
     store.mode(StoreStandin.Mode.SERVING);
     long afterMs = 0;
     for (SoakEndpoint endpoint : endpoints) {
-      afterMs += WRITTEN_AGAIN_MS;
-      vertx.setTimer(afterMs, timer -> endpointSays(endpoint, saidLast.get(endpoint)));
+      afterMs += REWRITE_GAP_MS;
+      vertx.setTimer(afterMs, timer -> publishEntry(endpoint, lastState.get(endpoint)));
     }
   }
 
@@ -278,61 +293,62 @@
     }
   }
 
-  private void leave(SoakEndpoint endpoint, boolean begins) {
-    endpoint.inUse(!begins);
-    endpointSays(endpoint, begins ? LEAVING : READY);
+  private void drain(SoakEndpoint endpoint, boolean begins) {
+    endpoint.setInUse(!begins);
+    publishEntry(endpoint, begins ? DRAINING : READY);
   }
 
-  /** Writes over the entry of an engine, as another writer does, or lets it write its own again. */
-  private void spoil(SoakEndpoint endpoint, boolean begins) {
-    endpoint.inUse(!begins);
+  /** Overwrites an engine's entry, as another writer would, or publishes its own entry again. */
+  private void overwriteEntry(SoakEndpoint endpoint, boolean begins) {
+    endpoint.setInUse(!begins);
     if (!begins) {
-      endpointSays(endpoint, READY);
+      publishEntry(endpoint, READY);
     } else if (!endpoint.id().equals(SERVICE)) {
-      store.put(ENDPOINTS, endpoint.id(), NO_ENTRIES[spoiled++ % NO_ENTRIES.length]);
+      store.put(
+          ENDPOINTS, endpoint.id(), INVALID_ENTRIES[overwrittenCount++ % INVALID_ENTRIES.length]);
     }
   }
 
-  /** Returns an engine that reads a long prompt; if there is none, the one given, if it is one. */
-  private Optional<SoakEndpoint> engineInsteadOf(SoakEndpoint otherwise) {
+  /** Returns an engine that prefills a long prompt; otherwise the given endpoint, if an engine. */
+  private Optional<SoakEndpoint> prefillingEngineOr(SoakEndpoint otherwise) {
     return endpoints.stream()
-        .filter(SoakEndpoint::readsLongPrompt)
+        .filter(SoakEndpoint::prefillsLongPrompt)
         .findFirst()
         .or(() -> Optional.of(otherwise).filter(endpoint -> !endpoint.id().equals(SERVICE)));
   }
 
-  /** Ends every fault of the store and the endpoints but the silence for good. */
-  void heal() {
+  /** Ends every fault of the store and the endpoints, except permanent hangs. */
+  void endFaults() {
     store.mode(StoreStandin.Mode.SERVING);
     storeLinks.forEach(link -> link.mode(FaultProxy.Mode.PASS));
     for (SoakEndpoint endpoint : endpoints) {
-      endpoint.link(FaultProxy.Mode.PASS);
-      endpoint.losesAnswers(false);
-      endpoint.sheds(false);
-      endpoint.asksForRest(false);
-      endpoint.inUse(true);
-      endpointSays(endpoint, READY);
+      endpoint.setLinkMode(FaultProxy.Mode.PASS);
+      endpoint.setLosesAnswers(false);
+      endpoint.setRejects(false);
+      endpoint.setRequestsBackoff(false);
+      endpoint.setInUse(true);
+      publishEntry(endpoint, READY);
     }
   }
 
-  /** Ends every daemon for good, and frees their ports. Safe for all threads. */
-  void end() {
-    hosts.forEach(HostProcess::endForGood);
+  /** Terminates all daemons and releases their ports. Safe for all threads. */
+  void close() {
+    hosts.forEach(HostProcess::terminate);
     ports.close();
   }
 
-  /** Tells whether the log of some host names a request. */
-  boolean logsName(String requestId) {
-    return hosts.stream().anyMatch(host -> host.logNames(requestId));
+  /** Whether the log of some host mentions a request. */
+  boolean logsMention(String requestId) {
+    return hosts.stream().anyMatch(host -> host.logMentions(requestId));
   }
 
-  /** Returns the daemons, by their number. */
+  /** Returns the daemons, by index. */
   List<HostProcess> hosts() {
     return hosts;
   }
 
-  /** Returns where callers of each daemon come in, by its number. */
-  List<HostAddress> callers() {
-    return callers;
+  /** Returns the address for callers of each daemon, by index. */
+  List<HostAddress> callerAddresses() {
+    return callerAddresses;
   }
 }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/package-info.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/package-info.java
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * A randomized, seeded soak. Daemons run as processes of their own on loopback; store, endpoints
- * and callers are stand-ins in the soak's process, with proxies between them and the daemons.
- * Faults come from outside only: signals, and proxies that delay, reset or silence connections.
- * What callers and endpoints see is checked against docs/PROMISES.md.
+ * A randomized soak test, reproducible by seed. Daemons run as separate processes on loopback. The
+ * store, the endpoints and the callers are stand-ins in the soak's process, connected to the
+ * daemons through proxies. Faults are injected from outside the daemons only: signals, proxies that
+ * delay, reset or drop connections, and faults of the stand-ins. What callers and endpoints observe
+ * is checked against docs/PROMISES.md.
  */
 package org.fawndrum.soak;
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/EarlySignalTest.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/EarlySignalTest.java
@@ -9,29 +9,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A hang-up signal to a daemon that has only begun to start does not end it. */
+/** A hangup signal doesn't terminate a daemon that is still starting. */
 class EarlySignalTest {
   private static final String STARTED = "FAWN0001";
 
   @TempDir private Path folder;
 
   @Test
-  void aReloadDuringTheStartEndsNothing() throws Exception {
+  void reloadDuringStartDoesNotTerminateDaemon() throws Exception {
     String text = Files.readString(Path.of("tst", "early-signal.json"));
     HostProcess host = new HostProcess("host-1", folder, text);
     host.start();
     try {
-      while (!host.begun() && !host.endedByItself()) {
+      while (!host.hasLoggedStart() && !host.exitedUnexpectedly()) {
         Thread.onSpinWait();
       }
       for (int i = 0; i < 20 && !started(); i++) {
         host.signal("HUP");
       }
-      while (!started() && !host.endedByItself()) {
+      while (!started() && !host.exitedUnexpectedly()) {
         Thread.onSpinWait();
       }
       assertTrue(started());
-      assertFalse(host.endedByItself());
+      assertFalse(host.exitedUnexpectedly());
     } finally {
       host.kill();
     }
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/KeptFolders.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/KeptFolders.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 import org.junit.jupiter.api.io.TempDirFactory;
 
-/** Makes folders where the build's results are, so that those of failed tests are found there. */
+/** Creates test folders below the build's output, so that those of failed tests are kept. */
 final class KeptFolders implements TempDirFactory {
   private static final Path FAILED = Path.of("..", "target", "org.fawndrum.soak", "failed");
 
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/LeavingUnknownStartTest.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/LeavingUnknownStartTest.java
@@ -16,60 +16,60 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Engines start again while the store is silent, and then say in their answers that they leave; the
- * store tells these starts later.
+ * Engines restart while the store is unresponsive and then signal in their answers that they are
+ * shutting down; hosts read the new incarnations from the store only later.
  *
- * <p>Seen: a request reached an engine 2.4 s after it had said that it leaves. What it said was
- * filed under the start that was known, and did not hold for the one that had said it.
+ * <p>Guards against draining notices being recorded for the known incarnation instead of the one
+ * that sent them. With that defect, a request reached an engine 2.4 s after its draining notice.
  */
 class LeavingUnknownStartTest {
   private static final int HOSTS = 3;
   private static final int ENGINES = 5;
   private static final long LENGTH_MS = 9_000;
 
-  /** When the store falls silent, and for how long, in milliseconds. */
-  private static final long SILENT_MS = 500;
+  /** When the store becomes unresponsive, and for how long, in milliseconds. */
+  private static final long UNRESPONSIVE_MS = 500;
 
-  private static final long SILENT_FOR_MS = 5_000;
+  private static final long UNRESPONSIVE_FOR_MS = 5_000;
 
-  /** When the engines start again, and the time between two of them, in milliseconds. */
+  /** When the engines restart, and the interval between two restarts, in milliseconds. */
   private static final long RESTART_MS = 1_500;
 
   private static final long RESTART_GAP_MS = 100;
 
-  /** When two of them begin to say that they leave, and for how long, in milliseconds. */
-  private static final long LEAVING_MS = 3_000;
+  /** When two of them start to send draining notices, and for how long, in milliseconds. */
+  private static final long DRAINING_MS = 3_000;
 
-  private static final long LEAVING_FOR_MS = 4_000;
+  private static final long DRAINING_FOR_MS = 4_000;
 
-  /** The line of a start that is asked before it is used. */
-  private static final String START_UNCLEAR = "FAWN0074";
+  /** Id of the log line about an incarnation that is verified before it is used. */
+  private static final String INCARNATION_UNCERTAIN = "FAWN0074";
 
   @TempDir(factory = KeptFolders.class, cleanup = CleanupMode.ON_SUCCESS)
   private Path folder;
 
-  private static Fault fault(long atMs, long forMs, Fault.Kind kind, int target) {
-    return new Fault(atMs, forMs, kind, target, FaultProxy.Mode.PASS);
+  private static Fault fault(long atMs, long durationMs, Fault.Kind kind, int target) {
+    return new Fault(atMs, durationMs, kind, target, FaultProxy.Mode.PASS);
   }
 
   private static List<Fault> plan() {
     List<Fault> plan = new ArrayList<>();
-    plan.add(fault(SILENT_MS, SILENT_FOR_MS, Fault.Kind.STORE_SILENT, 0));
-    // One that reads a long prompt starts again in place of the one that is meant.
+    plan.add(fault(UNRESPONSIVE_MS, UNRESPONSIVE_FOR_MS, Fault.Kind.STORE_UNRESPONSIVE, 0));
+    // An engine that prefills a long prompt restarts instead of the target, hence two rounds.
     for (int i = 0; i < 2 * ENGINES; i++) {
       long atMs = RESTART_MS + i * RESTART_GAP_MS;
       plan.add(fault(atMs, 0, Fault.Kind.ENGINE_RESTARTS, i % ENGINES));
     }
     for (int i = 0; i < 2; i++) {
-      plan.add(fault(LEAVING_MS, LEAVING_FOR_MS, Fault.Kind.SAYS_LEAVING, i));
+      plan.add(fault(DRAINING_MS, DRAINING_FOR_MS, Fault.Kind.DRAINING_NOTICE, i));
     }
     return plan;
   }
 
-  private boolean wasMet() throws IOException {
+  private boolean wasVerified() throws IOException {
     try (Stream<Path> files = Files.list(folder)) {
-      for (Path file : files.filter(one -> one.toString().endsWith(".log")).toList()) {
-        if (Files.readString(file).contains(START_UNCLEAR)) {
+      for (Path file : files.filter(path -> path.toString().endsWith(".log")).toList()) {
+        if (Files.readString(file).contains(INCARNATION_UNCERTAIN)) {
           return true;
         }
       }
@@ -78,11 +78,11 @@
   }
 
   @Test
-  void aStartThatSaidItLeavesBeforeItWasKnownGetsNothingMore() throws Exception {
-    Soak.Order order = new Soak.Order(1, HOSTS, LENGTH_MS, Set.of(), folder);
-    Soak.Result result = new Soak(order, plan()).call();
+  void drainingNoticeHoldsForUnknownIncarnation() throws Exception {
+    Soak.Config config = new Soak.Config(1, HOSTS, LENGTH_MS, Set.of(), folder);
+    Soak.Result result = new Soak(config, plan()).run();
     String where = ", settings and logs of the daemons in " + folder;
-    assertEquals(List.of(), result.broken(), result.summary() + where);
-    assertTrue(wasMet(), "no start became known later" + where);
+    assertEquals(List.of(), result.violations(), result.summary() + where);
+    assertTrue(wasVerified(), "no incarnation was verified" + where);
   }
 }
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/SoakEndTest.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/SoakEndTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A soak that a signal ends leaves no daemon running. */
+/** A soak that is terminated by a signal leaves no daemon running. */
 class SoakEndTest {
   private static final int HOSTS = 2;
   private static final String STARTED = "FAWN0001";
 
-  /** How often and after which pause this looks for the daemons, in milliseconds. */
-  private static final int LOOKS = 1_200;
+  /** Maximum number of polls, and the poll interval in milliseconds. */
+  private static final int MAX_POLLS = 1_200;
 
-  private static final int LOOK_MS = 50;
+  private static final int POLL_MS = 50;
 
   @TempDir private Path folder;
 
   @Test
-  void aSignalEndsTheDaemonsToo() throws Exception {
+  void signalTerminatesDaemons() throws Exception {
     Process soak =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -41,28 +41,28 @@
             .start();
     List<ProcessHandle> daemons = List.of();
     try {
-      for (int i = 0; i < LOOKS && started() < HOSTS; i++) {
-        Thread.sleep(LOOK_MS);
+      for (int i = 0; i < MAX_POLLS && startedCount() < HOSTS; i++) {
+        Thread.sleep(POLL_MS);
       }
       daemons = soak.children().toList();
       assertEquals(HOSTS, daemons.size(), "daemons");
       soak.destroy();
       soak.waitFor();
-      for (int i = 0; i < LOOKS && runsOn(daemons); i++) {
-        Thread.sleep(LOOK_MS);
+      for (int i = 0; i < MAX_POLLS && anyAlive(daemons); i++) {
+        Thread.sleep(POLL_MS);
       }
-      assertFalse(runsOn(daemons), "a daemon runs on");
+      assertFalse(anyAlive(daemons), "a daemon is still running");
     } finally {
       soak.destroyForcibly();
       daemons.forEach(ProcessHandle::destroyForcibly);
     }
   }
 
-  private static boolean runsOn(List<ProcessHandle> daemons) {
+  private static boolean anyAlive(List<ProcessHandle> daemons) {
     return daemons.stream().anyMatch(ProcessHandle::isAlive);
   }
 
-  private int started() throws IOException {
+  private int startedCount() throws IOException {
     int started = 0;
     for (int host = 0; host < HOSTS; host++) {
       Path log = folder.resolve("seed-1").resolve(HostSettings.name(host) + ".log");
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/SoakEndpointTest.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/SoakEndpointTest.java
@@ -18,70 +18,72 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What an endpoint of the soak shows to hosts, so that checks see the faults they are for. */
+/** Verifies that injected faults of the soak's endpoints are visible to hosts. */
 class SoakEndpointTest {
-  private static final long LONGEST_S = 20;
+  private static final long TIMEOUT_S = 20;
   private static final long REVOKE_MS = 5_000;
 
-  private static final String LEAVING = "Server-Leaving";
+  private static final String SHUTTING_DOWN_HEADER = "Server-Leaving";
 
   private final Vertx vertx = Vertx.vertx();
   private final HttpClientAgent client = vertx.createHttpClient();
-  private final Ledger ledger = new Ledger(REVOKE_MS);
-  private final AtomicBoolean isBack = new AtomicBoolean();
+  private final PromiseChecker checker = new PromiseChecker(REVOKE_MS);
+  private final AtomicBoolean hasRestarted = new AtomicBoolean();
   private final SoakEndpoint endpoint =
       new SoakEndpoint(
           vertx,
           vertx.createNetClient(),
-          ledger,
+          checker,
           new TicketUses(),
           "engine-1",
           "pool",
           0,
-          back -> isBack.set(true));
+          restarted -> hasRestarted.set(true));
 
   @AfterEach
   void close() throws Exception {
-    soon(vertx.close());
+    await(vertx.close());
   }
 
-  private static <T> T soon(Future<T> future) throws Exception {
-    return future.toCompletionStage().toCompletableFuture().get(LONGEST_S, TimeUnit.SECONDS);
+  private static <T> T await(Future<T> future) throws Exception {
+    return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
-  private Future<HttpClientResponse> ask(String path) {
+  private Future<HttpClientResponse> get(String path) {
     HostAddress at = endpoint.address();
     return client
         .request(HttpMethod.GET, at.port(), at.ip(), path)
         .compose(request -> request.putHeader("X-Request-Id", "s-1").send());
   }
 
-  private HttpClientResponse ask() throws Exception {
-    return soon(ask("/ask/1"));
+  private HttpClientResponse get() throws Exception {
+    return await(get("/ask/1"));
   }
 
-  /** Seen: one that had ended answered what was still on its way, and a host was blamed. */
+  /**
+   * A crashed endpoint once answered a request in transit, which was reported as a host's fault.
+   */
   @Test
-  void oneThatEndedAnswersNothingUntilItIsBack() throws Exception {
-    soon(endpoint.listen());
-    ask(Callers.DEADLY + 1);
+  void crashedEndpointDoesNotAnswerUntilRestarted() throws Exception {
+    await(endpoint.listen());
+    get(Callers.CRASHING_PATH + 1);
     Promise<Boolean> answered = Promise.promise();
     vertx.setPeriodic(
         1,
         id -> {
-          if (ledger.crashes().summary().startsWith("1 ") && vertx.cancelTimer(id)) {
-            ask("/ask/1").map(true).otherwise(false).onComplete(answered);
+          if (checker.crashes().summary().startsWith("1 ") && vertx.cancelTimer(id)) {
+            get("/ask/1").map(true).otherwise(false).onComplete(answered);
           }
         });
-    assertTrue(!soon(answered.future()) || isBack.get(), "answered though it had ended");
+    assertTrue(!await(answered.future()) || hasRestarted.get(), "answered although it had crashed");
   }
 
-  /** Seen: for a day no endpoint of the soak said in its answers that it leaves. */
+  /** For a day the soak's endpoints sent no draining notice, so nothing was checked. */
   @Test
-  void oneThatLeavesSaysSoInItsAnswers() throws Exception {
-    soon(endpoint.listen());
-    assertNull(ask().getHeader(LEAVING));
-    endpoint.sayLeaving();
-    assertEquals("1", ask().getHeader(LEAVING));
+  void drainingEndpointSendsNotice() throws Exception {
+    await(endpoint.listen());
+    assertNull(get().getHeader(SHUTTING_DOWN_HEADER));
+    endpoint.announceDraining();
+    assertEquals("1", get().getHeader(SHUTTING_DOWN_HEADER));
   }
 }
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/SoakTest.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/SoakTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A short run of the soak with fixed seeds. Seeds that ever failed are kept here, with their cause.
+ * Short soak runs with fixed seeds. Seeds that failed once are kept here, with the cause of the
+ * failure.
  */
 class SoakTest {
   private static final int HOSTS = 3;
@@ -21,143 +22,143 @@
   @TempDir(factory = KeptFolders.class, cleanup = CleanupMode.ON_SUCCESS)
   private Path folder;
 
-  private void holds(long seed) throws Exception {
-    holds(seed, HOSTS, LENGTH_MS);
+  private void verify(long seed) throws Exception {
+    verify(seed, HOSTS, LENGTH_MS);
   }
 
-  private void holds(long seed, int hosts, long lengthMs) throws Exception {
-    holds(seed, hosts, lengthMs, Fault.FIRST);
+  private void verify(long seed, int hosts, long lengthMs) throws Exception {
+    verify(seed, hosts, lengthMs, Fault.GENERATION_1);
   }
 
-  private void holds(long seed, int hosts, long lengthMs, Set<Fault.Kind> kinds) throws Exception {
-    Soak.Result result = new Soak(new Soak.Order(seed, hosts, lengthMs, kinds, folder)).call();
+  private void verify(long seed, int hosts, long lengthMs, Set<Fault.Kind> kinds) throws Exception {
+    Soak.Result result = new Soak(new Soak.Config(seed, hosts, lengthMs, kinds, folder)).run();
     String where = ", settings and logs of the daemons in " + folder;
-    assertEquals(List.of(), result.broken(), result.summary() + where);
+    assertEquals(List.of(), result.violations(), result.summary() + where);
   }
 
   @Test
   void seedTwo() throws Exception {
-    holds(2);
+    verify(2);
   }
 
-  /** A daemon that was told to reload just after its start ended with code 129; seed 2 did too. */
+  /** A reload signal just after the start terminated a daemon with code 129; also in seed 2. */
   @Test
   void seedOneHundredAndThirtySix() throws Exception {
-    holds(136, 4, 8_000);
+    verify(136, 4, 8_000);
   }
 
   @Test
   void seedFour() throws Exception {
-    holds(4);
+    verify(4);
   }
 
   /**
-   * Engines fell silent for good while they read long prompts; their hosts renewed the leases on
-   * the memory of others until the deadline of the prompt, ten seconds later.
+   * Engines hung permanently while they prefilled long prompts; their hosts renewed the
+   * reservations at helper engines until the deadline of the prompt, ten seconds later.
    */
   @Test
   void seedNine() throws Exception {
-    holds(9);
+    verify(9);
   }
 
-  /** A stopping host took what could not end any more, and cut it when its own time was over. */
+  /** A host in shutdown accepted requests that it couldn't finish, and aborted them at its exit. */
   @Test
   void seedThirtyOne() throws Exception {
-    holds(31);
+    verify(31);
   }
 
   /**
-   * Engines that lived dropped long prompts without a word; their hosts renewed the leases on the
-   * memory of others because the engines answered, until the deadline of the prompt.
+   * Engines dropped long prompts without an answer but stayed alive; because they answered, their
+   * hosts renewed the reservations at helper engines until the deadline of the prompt.
    */
   @Test
   void seedEightThousandAndTwo() throws Exception {
-    holds(8_002, 4, 12_000);
+    verify(8_002, 4, 12_000);
   }
 
-  /** The same, with two pieces of memory for each of two prompts. */
+  /** The same as seed 8002, with two reservations for each of two prompts. */
   @Test
   void seedEightThousandAndThree() throws Exception {
-    holds(8_003, 4, 12_000);
+    verify(8_003, 4, 12_000);
   }
 
-  /** Engines start again under their ids, and somebody else writes over their entries. */
+  /** Engines restart under their ids, and another writer overwrites their entries. */
   @Test
   void seedTwelveThousandAndOne() throws Exception {
-    holds(12_001, HOSTS, LENGTH_MS, Fault.SECOND);
+    verify(12_001, HOSTS, LENGTH_MS, Fault.GENERATION_2);
   }
 
-  /** Of two requests that end engines, one ran on when the other had been turned away. */
+  /** Of two requests that crash engines, one still ran after the other had been rejected. */
   @Test
   void seedThirteenThousandAndOne() throws Exception {
-    holds(13_001, HOSTS, 12_000, Fault.THIRD);
+    verify(13_001, HOSTS, 12_000, Fault.GENERATION_3);
   }
 
   /**
-   * Endpoints say things about themselves in their answers alone, and the store goes back. With
-   * hosts that keep nothing of that, seven requests of this seed reached an endpoint that leaves
-   * and a third one that rests.
+   * Endpoints send notices only in their answers, and the store is restored from a copy. With hosts
+   * that ignore the notices, seven requests of this seed reached a draining endpoint, and a third
+   * one reached an endpoint during its backoff.
    */
   @Test
   void seedFourteenThousandAndFour() throws Exception {
-    holds(14_004, HOSTS, 12_000, Fault.ALL);
+    verify(14_004, HOSTS, 12_000, Fault.ALL);
   }
 
-  /** What an endpoint said of itself was lost when a later start of it became known. */
+  /** An endpoint's notice was lost when a later incarnation became known. */
   @Test
   void seedTwentyOneThousandAndThree() throws Exception {
-    holds(21_003, HOSTS, 12_000, Fault.ALL);
+    verify(21_003, HOSTS, 12_000, Fault.ALL);
   }
 
-  /** Requests that end engines ran on, among them where no host could prove the end of one. */
+  /** Requests that crash engines ran on, also where no host could prove the crash of one. */
   @Test
   void seedTwentyOneThousandAndSeven() throws Exception {
-    holds(21_007, HOSTS, 12_000, Fault.ALL);
+    verify(21_007, HOSTS, 12_000, Fault.ALL);
   }
 
-  /** A request ran on after three endpoints had ended under it, each of which was seen to end. */
+  /** A request ran on after it had crashed three endpoints, each of them observed by hosts. */
   @Test
   void seedFortyOneThousandAndEight() throws Exception {
-    holds(41_008, HOSTS, 12_000, Fault.ALL);
+    verify(41_008, HOSTS, 12_000, Fault.ALL);
   }
 
-  /** A host that was about to end refused a request, and its caller got no answer. */
+  /** A host that was about to exit refused a request, and its caller got no answer. */
   @Test
   void seedFortyOneThousandAndTwentyOne() throws Exception {
-    holds(41_021, HOSTS, 12_000, Fault.ALL);
+    verify(41_021, HOSTS, 12_000, Fault.ALL);
   }
 
-  /** Hosts that knew different starts of an engine made two ends of one. */
+  /** Hosts that knew different incarnations of an engine counted one crash as two. */
   @Test
   void seedFiftyOneThousandAndThirteen() throws Exception {
-    holds(51_013, HOSTS, 12_000, Fault.ALL);
+    verify(51_013, HOSTS, 12_000, Fault.ALL);
   }
 
-  /** An engine ended in the middle of answers of a host that was stopping. */
+  /** An engine crashed while it sent answers through a host in shutdown. */
   @Test
   void seedFiftyOneThousandAndThree() throws Exception {
-    holds(51_003, HOSTS, 12_000, Fault.ALL);
+    verify(51_003, HOSTS, 12_000, Fault.ALL);
   }
 
-  /** The same, later in the stop. */
+  /** The same as seed 51003, later in the shutdown. */
   @Test
   void seedFiftyOneThousandAndTwentyOne() throws Exception {
-    holds(51_021, HOSTS, 12_000, Fault.ALL);
+    verify(51_021, HOSTS, 12_000, Fault.ALL);
   }
 
-  /** A host that was told to stop was still there at the end of its grace period. */
+  /** A host in shutdown was still running at the end of its grace period. */
   @Test
   void seedFiftyThreeThousandAndTwo() throws Exception {
-    holds(53_002, HOSTS, 12_000, Fault.ALL);
+    verify(53_002, HOSTS, 12_000, Fault.ALL);
   }
 
   /**
-   * A host that had stood still while the order to stop came counted its grace period from when it
-   * handled the order, and was killed with requests open.
+   * A host that was suspended when the stop signal arrived started its grace period only when it
+   * handled the signal, and was killed with open requests.
    */
   @Test
   void seedTwelveThousandAndTen() throws Exception {
-    holds(12_010, HOSTS, 12_000, Fault.SECOND);
+    verify(12_010, HOSTS, 12_000, Fault.GENERATION_2);
   }
 
   @Test
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/TakenAddressTest.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/TakenAddressTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A daemon that cannot have an address of its settings says which, and ends. */
+/** A daemon that cannot listen on a configured address logs the address and exits. */
 class TakenAddressTest {
   private static final int FAILED = 1;
 
   @TempDir private Path folder;
 
   @Test
-  void aTakenAddressIsNamedInTheLog() throws Exception {
+  void occupiedAddressIsLogged() throws Exception {
     try (FixedPorts ports = new FixedPorts();
         ServerSocket other = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       HostAddress taken = new HostAddress("127.0.0.1", other.getLocalPort());
@@ -29,14 +29,14 @@
       HostProcess host = new HostProcess("host-0", folder, text);
       host.start();
       try {
-        while (!host.endedByItself()) {
+        while (!host.exitedUnexpectedly()) {
           Thread.onSpinWait();
         }
         assertEquals(FAILED, host.exitCode());
         String log = Files.readString(folder.resolve("host-0.log"));
         assertTrue(log.contains("cannot listen for callers on " + taken + ": "), log);
       } finally {
-        host.endForGood();
+        host.terminate();
       }
     }
   }
