--- a/org.fawndrum.bench/src/org/fawndrum/bench/BenchCommand.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/BenchCommand.java
@@ -3,10 +3,10 @@
 
 import java.io.IOException;
 
-/** A benchmark; its options are fields. */
+/** A benchmark. Fields hold its options. */
 interface BenchCommand {
   /**
-   * Measures and prints.
+   * Runs the benchmark and prints its results.
    *
    * @return the exit code
    * @throws IOException if a file cannot be written
--- a/org.fawndrum.bench/src/org/fawndrum/bench/BenchMain.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/BenchMain.java
@@ -9,7 +9,7 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** Runs a benchmark: {@code policy}, {@code report} or {@code slopes}. */
+/** Main class of the benchmarks: {@code policy}, {@code report} and {@code slopes}. */
 public final class BenchMain {
   private static final int USAGE = 2;
   private static final Map<String, Supplier<BenchCommand>> ALL =
@@ -18,15 +18,15 @@
 
   private BenchMain() {}
 
-  /** Runs one benchmark. Exit codes: 0 measured, 2 wrong usage. */
+  /** Runs one benchmark. Exit codes: 0 success, 2 wrong usage. */
   public static void main(String[] args) throws IOException {
-    Supplier<BenchCommand> make = args.length == 0 ? null : ALL.get(args[0]);
-    if (make == null) {
+    Supplier<BenchCommand> factory = args.length == 0 ? null : ALL.get(args[0]);
+    if (factory == null) {
       System.err.println("fawndrum-bench BENCHMARK; one of " + ALL.keySet());
       System.exit(USAGE);
       return;
     }
-    BenchCommand command = make.get();
+    BenchCommand command = factory.get();
     CmdLineParser parser = new CmdLineParser(command);
     try {
       parser.parseArgument(Arrays.copyOfRange(args, 1, args.length));
--- a/org.fawndrum.bench/src/org/fawndrum/bench/BenchPolicy.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/BenchPolicy.java
@@ -5,8 +5,8 @@
 import java.util.function.Supplier;
 import org.fawndrum.coordination.Policies;
 
-/** A policy to measure; each host gets its own instance. */
-record BenchPolicy(String name, Supplier<Policies> make) {
+/** A policy to measure; each host gets an instance of its own from the factory. */
+record BenchPolicy(String name, Supplier<Policies> factory) {
   static final List<BenchPolicy> ALL =
       List.of(
           new BenchPolicy("first-come-round-robin", Policies::firstComeRoundRobin),
--- a/org.fawndrum.bench/src/org/fawndrum/bench/FleetSettings.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/FleetSettings.java
@@ -4,17 +4,18 @@
 import org.fawndrum.standin.EngineModel;
 
 /**
- * The fleet that a policy is measured on.
+ * The simulated fleet on which a policy is measured.
  *
- * @param zones availability zones
- * @param hosts entry hosts over all zones
- * @param engines model engines over all zones
- * @param engine what each engine can do
- * @param reportEveryMs how often an engine's load reaches the hosts, in milliseconds
- * @param reportLagMs how old it is then, in milliseconds
- * @param loseEngineMs when an engine is lost, in milliseconds; -1 for never
- * @param cutFromMs when one zone is cut off from the others, in milliseconds; -1 for never
- * @param cutToMs when the cut heals
+ * @param zones number of availability zones
+ * @param hosts number of entry hosts in all zones
+ * @param engines number of model engines in all zones
+ * @param engine the capacity of each engine
+ * @param reportEveryMs interval of an engine's load reports, in milliseconds
+ * @param reportLagMs age of a load report when it reaches the hosts, in milliseconds
+ * @param engineCrashMs when an engine crashes, in milliseconds; -1 for never
+ * @param partitionStartMs when one zone is partitioned from the others, in milliseconds; -1 for
+ *     never
+ * @param partitionEndMs when the partition ends, in milliseconds
  */
 public record FleetSettings(
     int zones,
@@ -23,20 +24,20 @@
     EngineModel.Settings engine,
     long reportEveryMs,
     long reportLagMs,
-    long loseEngineMs,
-    long cutFromMs,
-    long cutToMs) {
+    long engineCrashMs,
+    long partitionStartMs,
+    long partitionEndMs) {
   private static final long MEMORY = 450_000;
   private static final int STEP_TOKENS = 1_024;
   private static final long STEP_MS = 25;
 
-  /** Returns a fleet of today's size: 3 zones, 6 hosts, 18 engines. */
-  public static FleetSettings today() {
+  /** Returns a fleet of the present size: 3 zones, 6 hosts, 18 engines. */
+  public static FleetSettings baseline() {
     EngineModel.Settings engine = new EngineModel.Settings(MEMORY, STEP_TOKENS, STEP_MS);
     return new FleetSettings(3, 6, 18, engine, 200, 100, -1, -1, -1);
   }
 
-  /** Returns this fleet with an engine lost and a zone cut off in the middle of a run. */
+  /** Returns this fleet with a crashed engine and a partitioned zone in the middle of a run. */
   public FleetSettings withFaults(long runMs) {
     return new FleetSettings(
         zones,
@@ -50,7 +51,7 @@
         runMs * 2 / 3);
   }
 
-  /** Returns the tokens that all engines together read a second. */
+  /** Returns the prefill rate of all engines together, in tokens per second. */
   public double tokensPerSecond() {
     return (double) engines * engine.tokensPerSecond();
   }
--- a/org.fawndrum.bench/src/org/fawndrum/bench/Fleet.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/FleetSimulation.java
@@ -26,18 +26,18 @@
 import org.fawndrum.state.TableRevision;
 
 /**
- * Entry hosts and engines on one virtual clock: the real decisions of each host, the step model of
- * each engine, nothing else. Not for anything but measuring policies.
+ * Simulates entry hosts and engines on a virtual clock: the real decision code of each host and the
+ * step model of each engine, without any transport. Used only to measure policies.
  */
-final class Fleet {
+final class FleetSimulation {
   private static final long TICK_MS = 10;
   private static final String MODEL = "m";
-  private static final HostAddress NOWHERE = new HostAddress("127.0.0.1", 1);
+  private static final HostAddress UNUSED_ADDRESS = new HostAddress("127.0.0.1", 1);
 
   private final FleetSettings settings;
   private final List<RequestCoordinator> hosts = new ArrayList<>();
   private final List<Engine> engines = new ArrayList<>();
-  private final Map<String, Running> running = new HashMap<>();
+  private final Map<String, InFlightRequest> inFlight = new HashMap<>();
   private final List<RequestResult> results = new ArrayList<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
@@ -46,32 +46,32 @@
   private long nowMs;
   private long endMs;
   private long runMs;
-  private double workedInRun;
+  private double processedInRun;
 
-  /** Something that happens at a time. */
-  private record Event(long atMs, long order, Runnable run) {}
+  /** A scheduled event; events at the same time run in order of scheduling. */
+  private record Event(long atMs, long order, Runnable action) {}
 
-  /** A request on its way. */
-  private static final class Running {
+  /** A request without an outcome yet. */
+  private static final class InFlightRequest {
     final Arrival arrival;
     final int host;
     long firstTokenMs = -1;
     int attempts;
 
-    Running(Arrival arrival) {
+    InFlightRequest(Arrival arrival) {
       this.arrival = arrival;
       this.host = arrival.host();
     }
   }
 
-  /** An engine with the attempts on it. */
+  /** An engine with its running attempts. */
   private static final class Engine {
     final Endpoint endpoint;
     final EngineModel model;
     final Map<String, AttemptId> attempts = new HashMap<>();
     List<EngineModel.Output> pending = List.of();
     boolean stepping;
-    boolean lost;
+    boolean crashed;
     long reports;
 
     Engine(Endpoint endpoint, EngineModel model) {
@@ -80,7 +80,7 @@
     }
   }
 
-  Fleet(FleetSettings settings, TableRevision table, Supplier<Policies> policies) {
+  FleetSimulation(FleetSettings settings, TableRevision table, Supplier<Policies> policies) {
     this.settings = settings;
     for (int i = 0; i < settings.engines(); i++) {
       Endpoint endpoint =
@@ -88,7 +88,7 @@
               new HostIdentity("engine-" + i, 1),
               zone(i),
               EndpointKind.MODEL,
-              NOWHERE,
+              UNUSED_ADDRESS,
               Set.of(MODEL),
               settings.engine().memoryTokens());
       engines.add(new Engine(endpoint, new EngineModel(settings.engine())));
@@ -107,13 +107,15 @@
     return "zone-" + index % settings.zones();
   }
 
-  /** Plays a workload to its end and returns what became of each request. */
-  List<RequestResult> play(List<Arrival> arrivals, long arriveMs, long drainMs) {
+  /** Runs a workload to its end and returns the outcome of each request. */
+  List<RequestResult> run(List<Arrival> arrivals, long arriveMs, long drainMs) {
     runMs = arriveMs;
     endMs = runMs + drainMs;
     at(
         runMs,
-        () -> workedInRun = engines.stream().mapToLong(one -> one.model.workedTokens()).sum());
+        () ->
+            processedInRun =
+                engines.stream().mapToLong(engine -> engine.model.processedTokens()).sum());
     arrivals.forEach(arrival -> at(arrival.atMs(), () -> arrive(arrival)));
     for (int i = 0; i < hosts.size(); i++) {
       int host = i;
@@ -122,25 +124,27 @@
     for (Engine engine : engines) {
       at(engines.indexOf(engine) * 7L % settings.reportEveryMs(), () -> report(engine));
     }
-    if (settings.loseEngineMs() >= 0) {
-      at(settings.loseEngineMs(), () -> lose(engines.get(0)));
+    if (settings.engineCrashMs() >= 0) {
+      at(settings.engineCrashMs(), () -> crash(engines.get(0)));
     }
     while (!events.isEmpty() && events.peek().atMs() <= endMs) {
       Event event = events.poll();
       nowMs = event.atMs();
-      event.run().run();
+      event.action().run();
     }
-    running.values().forEach(left -> end(left, false, null));
+    inFlight.values().forEach(request -> end(request, false, null));
     return results;
   }
 
-  /** Returns the part of the engines' time that was worked while requests arrived. */
+  /**
+   * Returns the engines' processed tokens as a fraction of their capacity while requests arrived.
+   */
   double engineUse() {
-    return workedInRun / (settings.tokensPerSecond() * runMs / 1000.0);
+    return processedInRun / (settings.tokensPerSecond() * runMs / 1000.0);
   }
 
-  private void at(long atMs, Runnable run) {
-    events.add(new Event(atMs, order++, run));
+  private void at(long atMs, Runnable action) {
+    events.add(new Event(atMs, order++, action));
   }
 
   private void arrive(Arrival arrival) {
@@ -157,17 +161,17 @@
             0,
             true,
             arrival.prefixes());
-    running.put(id, new Running(arrival));
-    carryOut(arrival.host(), hosts.get(arrival.host()).arrive(facts, nowMs));
+    inFlight.put(id, new InFlightRequest(arrival));
+    execute(arrival.host(), hosts.get(arrival.host()).arrive(facts, nowMs));
   }
 
   private void tick(int host) {
-    carryOut(host, hosts.get(host).tick(nowMs));
+    execute(host, hosts.get(host).tick(nowMs));
     at(nowMs + TICK_MS, () -> tick(host));
   }
 
   private void report(Engine engine) {
-    if (engine.lost) {
+    if (engine.crashed) {
       return;
     }
     LoadReport load = engine.model.load(++engine.reports);
@@ -175,22 +179,22 @@
         nowMs + settings.reportLagMs(),
         () -> {
           for (int i = 0; i < hosts.size(); i++) {
-            if (!cut(i, engine)) {
-              carryOut(i, hosts.get(i).load(engine.endpoint.identity(), load, nowMs));
+            if (!isPartitioned(i, engine)) {
+              execute(i, hosts.get(i).load(engine.endpoint.identity(), load, nowMs));
             }
           }
         });
     at(nowMs + settings.reportEveryMs(), () -> report(engine));
   }
 
-  private boolean cut(int host, Engine engine) {
-    boolean now = nowMs >= settings.cutFromMs() && nowMs < settings.cutToMs();
-    boolean hostCut = zone(host).equals("zone-0");
-    boolean engineCut = engine.endpoint.zone().equals("zone-0");
-    return settings.cutFromMs() >= 0 && now && hostCut != engineCut;
+  private boolean isPartitioned(int host, Engine engine) {
+    boolean active = nowMs >= settings.partitionStartMs() && nowMs < settings.partitionEndMs();
+    boolean hostInZone = zone(host).equals("zone-0");
+    boolean engineInZone = engine.endpoint.zone().equals("zone-0");
+    return settings.partitionStartMs() >= 0 && active && hostInZone != engineInZone;
   }
 
-  private void carryOut(int host, List<Action> actions) {
+  private void execute(int host, List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof Action.Send send) {
         send(host, send);
@@ -199,21 +203,24 @@
         engine.model.cancel(cancel.attempt().toString());
         engine.attempts.remove(cancel.attempt().toString());
       } else if (action instanceof Action.Refuse refuse) {
-        end(running.remove(refuse.requestId()), false, refuse.refusal().kind());
+        end(inFlight.remove(refuse.requestId()), false, refuse.refusal().kind());
       }
     }
   }
 
   private Engine engine(Endpoint endpoint) {
-    return engines.stream().filter(one -> one.endpoint.equals(endpoint)).findFirst().orElseThrow();
+    return engines.stream()
+        .filter(engine -> engine.endpoint.equals(endpoint))
+        .findFirst()
+        .orElseThrow();
   }
 
   private void send(int host, Action.Send send) {
-    Running request = running.get(send.attempt().requestId());
+    InFlightRequest request = inFlight.get(send.attempt().requestId());
     request.attempts++;
     Engine engine = engine(send.endpoint());
-    if (engine.lost || cut(host, engine)) {
-      at(nowMs, () -> happened(send.attempt(), AttemptEvent.CONNECT_FAILED));
+    if (engine.crashed || isPartitioned(host, engine)) {
+      at(nowMs, () -> attemptEvent(send.attempt(), AttemptEvent.CONNECT_FAILED));
       return;
     }
     Arrival arrival = request.arrival;
@@ -229,7 +236,7 @@
             0,
             arrival.prefixes());
     if (!engine.model.submit(job)) {
-      at(nowMs, () -> happened(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT));
+      at(nowMs, () -> attemptEvent(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT));
       return;
     }
     engine.attempts.put(name, send.attempt());
@@ -243,7 +250,7 @@
     List<EngineModel.Output> outputs = engine.pending;
     engine.pending = List.of();
     outputs.forEach(output -> deliver(engine, output));
-    if (engine.lost || engine.model.idle()) {
+    if (engine.crashed || engine.model.isIdle()) {
       engine.stepping = false;
       return;
     }
@@ -256,34 +263,34 @@
     if (attempt == null) {
       return;
     }
-    Running request = running.get(attempt.requestId());
+    InFlightRequest request = inFlight.get(attempt.requestId());
     if (output.end()) {
       engine.attempts.remove(output.attempt());
-      happened(attempt, AttemptEvent.ANSWERED);
+      attemptEvent(attempt, AttemptEvent.ANSWERED);
       if (request != null) {
-        end(running.remove(attempt.requestId()), true, null);
+        end(inFlight.remove(attempt.requestId()), true, null);
       }
     } else if (request != null && request.firstTokenMs < 0) {
       request.firstTokenMs = nowMs - request.arrival.atMs();
-      happened(attempt, AttemptEvent.ANSWERING);
+      attemptEvent(attempt, AttemptEvent.ANSWERING);
     }
   }
 
-  private void happened(AttemptId attempt, AttemptEvent event) {
-    Running request = running.get(attempt.requestId());
+  private void attemptEvent(AttemptId attempt, AttemptEvent event) {
+    InFlightRequest request = inFlight.get(attempt.requestId());
     if (request != null) {
-      carryOut(request.host, hosts.get(request.host).attempt(attempt, event, nowMs));
+      execute(request.host, hosts.get(request.host).attempt(attempt, event, nowMs));
     }
   }
 
-  private void lose(Engine engine) {
-    engine.lost = true;
-    List<AttemptId> cutOff = List.copyOf(engine.attempts.values());
+  private void crash(Engine engine) {
+    engine.crashed = true;
+    List<AttemptId> aborted = List.copyOf(engine.attempts.values());
     engine.attempts.clear();
-    cutOff.forEach(attempt -> happened(attempt, AttemptEvent.LOST));
+    aborted.forEach(attempt -> attemptEvent(attempt, AttemptEvent.LOST));
   }
 
-  private void end(Running request, boolean finished, RefusalKind refusal) {
+  private void end(InFlightRequest request, boolean finished, RefusalKind refusal) {
     results.add(
         new RequestResult(
             request.arrival, request.firstTokenMs, finished, nowMs, refusal, request.attempts));
--- a/org.fawndrum.bench/src/org/fawndrum/bench/PolicyResult.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/PolicyResult.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The figures of one policy on one workload. */
+/** The metrics of one policy on one workload. */
 final class PolicyResult {
-  /** The upper ends of the length decades, in tokens. */
+  /** The upper bounds of the ranges of prompt length, in tokens. */
   static final long[] DECADES = {10_000, 100_000, 1_000_000};
 
   private final String policy;
@@ -31,7 +31,7 @@
     return engineUse;
   }
 
-  private double aloneMs(Arrival arrival) {
+  private double unloadedMs(Arrival arrival) {
     long steps =
         (arrival.promptTokens() + fleet.engine().stepTokens() - 1) / fleet.engine().stepTokens();
     return steps * (double) fleet.engine().stepMs();
@@ -43,17 +43,17 @@
     return tokens >= low && tokens < DECADES[decade];
   }
 
-  /** Returns a quantile of time to first token as a multiple of the same request alone. */
-  double multiple(int decade, double quantile) {
+  /** Returns a quantile of the time to first token as a multiple of that on an idle engine. */
+  double slowdown(int decade, double quantile) {
     return quantile(
         results.stream()
             .filter(result -> result.firstTokenMs() >= 0 && inDecade(result, decade))
-            .mapToDouble(result -> result.firstTokenMs() / aloneMs(result.arrival()))
+            .mapToDouble(result -> result.firstTokenMs() / unloadedMs(result.arrival()))
             .toArray(),
         quantile);
   }
 
-  /** Returns a quantile of the time to first token of short prompts, in milliseconds. */
+  /** Returns a quantile of the time to first token of the shortest range, in milliseconds. */
   double shortFirstTokenMs(double quantile) {
     return quantile(
         results.stream()
@@ -72,16 +72,16 @@
     return values[Math.max(0, Math.min(values.length - 1, at))];
   }
 
-  private double part(Predicate<RequestResult> which) {
-    return results.stream().filter(which).count() / (double) results.size();
+  private double fraction(Predicate<RequestResult> filter) {
+    return results.stream().filter(filter).count() / (double) results.size();
   }
 
-  double finishedPart() {
-    return part(RequestResult::finished);
+  double finishedFraction() {
+    return fraction(RequestResult::finished);
   }
 
-  double refusedPart() {
-    return part(result -> result.refusal() != null);
+  double refusedFraction() {
+    return fraction(result -> result.refusal() != null);
   }
 
   long longUnfinished() {
@@ -96,36 +96,36 @@
         / (double) results.size();
   }
 
-  /** Returns work finished a second while requests arrived, in tokens. */
+  /** Returns the finished work while requests arrived, in tokens per second. */
   double goodput(int seconds) {
-    return served(result -> result.endMs() < seconds * 1000L) / seconds;
+    return finishedWork(result -> result.endMs() < seconds * 1000L) / seconds;
   }
 
-  private double served(Predicate<RequestResult> which) {
+  private double finishedWork(Predicate<RequestResult> filter) {
     return results.stream()
         .filter(RequestResult::finished)
-        .filter(which)
+        .filter(filter)
         .mapToDouble(result -> result.arrival().work())
         .sum();
   }
 
   /**
-   * Returns each workspace's finished work as a part of what it should get of all finished work:
-   * its equal share, or its demand where that is less, the rest shared again.
+   * Returns each workspace's finished work as a fraction of its max-min fair share of all finished
+   * work: an equal share, or its demand if that is less; the remainder is shared again.
    */
   double[] shares() {
-    double[] served = new double[Workload.WORKSPACES];
+    double[] finished = new double[Workload.WORKSPACES];
     double[] demand = new double[Workload.WORKSPACES];
     for (RequestResult result : results) {
       demand[result.arrival().workspace()] += result.arrival().work();
       if (result.finished()) {
-        served[result.arrival().workspace()] += result.arrival().work();
+        finished[result.arrival().workspace()] += result.arrival().work();
       }
     }
-    double[] fair = maxMin(demand, Arrays.stream(served).sum());
+    double[] fair = maxMin(demand, Arrays.stream(finished).sum());
     double[] shares = new double[Workload.WORKSPACES];
     for (int i = 0; i < shares.length; i++) {
-      shares[i] = fair[i] == 0 ? 1 : served[i] / fair[i];
+      shares[i] = fair[i] == 0 ? 1 : finished[i] / fair[i];
     }
     return shares;
   }
@@ -136,9 +136,9 @@
     for (int i = 0; i < demand.length; i++) {
       open.add(i);
     }
-    double left = total;
+    double remaining = total;
     while (!open.isEmpty()) {
-      double each = left / open.size();
+      double each = remaining / open.size();
       List<Integer> small = open.stream().filter(i -> demand[i] <= each).toList();
       if (small.isEmpty()) {
         open.forEach(i -> fair[i] = each);
@@ -146,14 +146,14 @@
       }
       for (Integer i : small) {
         fair[i] = demand[i];
-        left -= demand[i];
+        remaining -= demand[i];
       }
       open.removeAll(small);
     }
     return fair;
   }
 
-  /** Returns Jain's index of the shares: 1 when all are equal. */
+  /** Returns Jain's fairness index of the shares: 1 if all are equal. */
   double jain() {
     double[] shares = shares();
     double sum = Arrays.stream(shares).sum();
--- a/org.fawndrum.bench/src/org/fawndrum/bench/Report.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/Report.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.kohsuke.args4j.Option;
 
-/** Writes an HTML page with the plot and the figures of a policy benchmark's output. */
+/** Writes an HTML page with the plot and the table of a policy benchmark's output. */
 final class Report implements BenchCommand {
   private static final int INPUT_MISSING = 2;
 
@@ -37,13 +37,13 @@
     html.append("text-align:right}</style></head><body><h1>Policies side by side</h1>");
     html.append(svg.substring(Math.max(0, svg.indexOf("<svg"))));
     html.append(
-        "<p>ttft columns: time to first token as a multiple of the same request alone.</p>");
+        "<p>ttft columns: time to first token as a multiple of that on an idle engine.</p>");
     html.append("<table>");
     for (int i = 0; i < lines.size(); i++) {
       String cell = i == 0 ? "th" : "td";
       html.append("<tr>");
       for (String value : lines.get(i).split(",")) {
-        html.append('<').append(cell).append('>').append(shortened(value));
+        html.append('<').append(cell).append('>').append(truncated(value));
         html.append("</").append(cell).append('>');
       }
       html.append("</tr>");
@@ -51,8 +51,8 @@
     return html.append("</table></body></html>\n").toString();
   }
 
-  /** Cuts long fractions, which the table does not need. */
-  private static String shortened(String value) {
+  /** Truncates decimal fractions to three digits. */
+  private static String truncated(String value) {
     int point = value.indexOf('.');
     boolean isLong = point >= 0 && value.length() > point + 4;
     return isLong ? value.substring(0, point + 4) : value;
--- a/org.fawndrum.bench/src/org/fawndrum/bench/RequestResult.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/RequestResult.java
@@ -4,14 +4,14 @@
 import org.fawndrum.coordination.RefusalKind;
 
 /**
- * What became of one request.
+ * The outcome of one request.
  *
  * @param arrival the request
- * @param firstTokenMs time to the first token in milliseconds, -1 when none came
- * @param finished whether the whole answer came
- * @param endMs when it ended, in milliseconds of virtual time
- * @param refusal why not, or null
- * @param attempts how often it was sent
+ * @param firstTokenMs time to first token in milliseconds; -1 if there was none
+ * @param finished whether the answer was complete
+ * @param endMs completion time, in milliseconds of virtual time
+ * @param refusal the kind of refusal, or null
+ * @param attempts the number of attempts sent to engines
  */
 public record RequestResult(
     Arrival arrival,
--- a/org.fawndrum.bench/src/org/fawndrum/bench/SlopeBench.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/SlopeBench.java
@@ -34,17 +34,17 @@
 import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
 
-/** Measures the slopes that the capacity page stands on. */
+/** Measures how costs grow with the size of a deployment, for the capacity page. */
 final class SlopeBench implements BenchCommand {
   private static final int[] ENDPOINTS = {24, 167, 667};
   private static final int[] ROWS = {10, 100, 1_400};
   private static final int[] DAEMONS = {8, 25, 60};
   private static final int[] CHANGES = {100, 1_000, 10_000};
   private static final int WARM_UP = 30_000;
-  private static final int COUNTED = 60_000;
+  private static final int MEASURED = 60_000;
   private static final long MEMORY = 450_000;
   private static final double NANOS_PER_MICRO = 1_000;
-  private static final HostAddress NOWHERE = new HostAddress("10.0.0.1", 7_420);
+  private static final HostAddress UNUSED_ADDRESS = new HostAddress("10.0.0.1", 7_420);
 
   @Override
   public int call() {
@@ -80,7 +80,7 @@
               new HostIdentity("engine-" + i, 1),
               "zone",
               EndpointKind.MODEL,
-              NOWHERE,
+              UNUSED_ADDRESS,
               Set.of("m"),
               MEMORY));
     }
@@ -96,7 +96,7 @@
   }
 
   private void decisions() {
-    System.out.println("request admitted, placed, answered and ended; one thread");
+    System.out.println("request admitted, placed, answered and completed; one thread");
     System.out.println(
         "endpoints  rows  microseconds/request  requests/s  state bytes  after 90,000 calls");
     for (int endpoints : ENDPOINTS) {
@@ -106,16 +106,16 @@
     }
   }
 
-  /** One line in a method of its own, so that the state of the line before is garbage. */
+  /** Prints one line; a separate method, so that the state of the previous line is garbage. */
   private static void decisions(int endpoints, int rows) {
-    long before = usedBytes();
-    RequestCoordinator coordinator = loaded(endpoints, rows);
-    long bytes = usedBytes() - before;
-    play(coordinator, rows, 0, WARM_UP);
+    long bytesBefore = usedBytes();
+    RequestCoordinator coordinator = coordinatorWith(endpoints, rows);
+    long bytes = usedBytes() - bytesBefore;
+    runRequests(coordinator, rows, 0, WARM_UP);
     long start = System.nanoTime();
-    play(coordinator, rows, WARM_UP, COUNTED);
-    double micros = (System.nanoTime() - start) / NANOS_PER_MICRO / COUNTED;
-    long after = usedBytes() - before;
+    runRequests(coordinator, rows, WARM_UP, MEASURED);
+    double micros = (System.nanoTime() - start) / NANOS_PER_MICRO / MEASURED;
+    long bytesAfter = usedBytes() - bytesBefore;
     System.out.printf(
         Locale.ROOT,
         "%9d %5d %21.2f %11.0f %12d %18d%n",
@@ -124,13 +124,13 @@
         micros,
         1_000_000 / micros,
         bytes,
-        after);
+        bytesAfter);
     if (coordinator.open() != 0) {
-      System.out.println("left open: " + coordinator.open());
+      System.out.println("still open: " + coordinator.open());
     }
   }
 
-  private static RequestCoordinator loaded(int endpoints, int rows) {
+  private static RequestCoordinator coordinatorWith(int endpoints, int rows) {
     RequestCoordinator coordinator =
         new RequestCoordinator(new HostIdentity("h", 1), "zone", Policies.standard());
     coordinator.table(table(rows), 0);
@@ -143,7 +143,7 @@
     return coordinator;
   }
 
-  private static void play(RequestCoordinator coordinator, int rows, int from, int count) {
+  private static void runRequests(RequestCoordinator coordinator, int rows, int from, int count) {
     for (int i = from; i < from + count; i++) {
       long nowMs = 1 + i;
       RequestFacts facts =
@@ -169,16 +169,16 @@
   private void heartbeats() {
     System.out.println();
     System.out.println(
-        "heartbeats in a zone with the load of 27 engines each; bytes are of messages, both ways");
+        "heartbeats in a zone with the load of 27 engines each; bytes of messages in both directions");
     System.out.println("daemons  interval ms  messages/s  message bytes/s  microseconds/s");
     for (int daemons : DAEMONS) {
-      new ZoneSlope(daemons).print();
+      new ZoneSimulation(daemons).print();
     }
   }
 
-  /** A zone of daemons on one virtual clock, with real messages between them. */
-  private static final class ZoneSlope {
-    private static final int WATCHED = 27;
+  /** Simulates a zone of daemons on a virtual clock; encodes and decodes real messages. */
+  private static final class ZoneSimulation {
+    private static final int WATCHED_ENGINES = 27;
     private static final long RUN_MS = 120_000;
     private static final long TICK_MS = 50;
 
@@ -188,7 +188,7 @@
     private long bytes;
     private long messages;
 
-    ZoneSlope(int daemons) {
+    ZoneSimulation(int daemons) {
       this.daemons = daemons;
       this.sequences = new long[daemons];
       for (int i = 0; i < daemons; i++) {
@@ -250,7 +250,8 @@
                 .setHeartbeat(
                     PeerCodec.heartbeat(facts)
                         .setLoadDigest(
-                            ByteString.copyFrom(new byte[WATCHED * LoadDigest.ENTRY_BYTES])))
+                            ByteString.copyFrom(
+                                new byte[WATCHED_ENGINES * LoadDigest.ENTRY_BYTES])))
                 .build()
                 .toByteArray();
         bytes += frame.length + 4;
@@ -301,7 +302,7 @@
 
   private void catchUp() {
     System.out.println();
-    System.out.println("catching up by replay, a table of 1,400 rows");
+    System.out.println("catch-up by replay, a table of 1,400 rows");
     System.out.println("changes  log bytes  milliseconds  microseconds/change");
     for (int changes : CHANGES) {
       LogReplay replay = new LogReplay();
--- a/org.fawndrum.bench/src/org/fawndrum/bench/package-info.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/package-info.java
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * Benchmarks that anyone can run again: the real decision code against the engine stand-in's step
- * model on one virtual clock, and the slopes that the capacity page stands on.
+ * Reproducible benchmarks: simulations of the real decision code with the engine stand-in's step
+ * model on a virtual clock, and measurements of the cost per unit that the capacity page uses.
  */
 package org.fawndrum.bench;
--- a/org.fawndrum.standin/src/org/fawndrum/standin/AnswerText.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/AnswerText.java
@@ -1,8 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.standin;
 
-/** The text that the stand-in engine answers: the same for a request and a position, anywhere. */
+/**
+ * Generates the answers of the engine stand-in. The token at a position depends only on the prompt
+ * and the position, so that all engines generate the same answer.
+ */
 public final class AnswerText {
+  /** Number of different hash values in the tokens. */
   private static final int WORDS = 1_000;
 
   private AnswerText() {}
@@ -13,7 +17,7 @@
     return "w" + position + "." + hash + " ";
   }
 
-  /** Returns the whole answer of a number of tokens. */
+  /** Returns the complete answer to a prompt, with the given number of tokens. */
   public static String whole(String prompt, long tokens) {
     StringBuilder text = new StringBuilder();
     for (long position = 0; position < tokens; position++) {
--- a/org.fawndrum.standin/src/org/fawndrum/standin/EngineFaults.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/EngineFaults.java
@@ -6,7 +6,7 @@
 import org.fawndrum.protocol.EngineMessages.Faults;
 import org.fawndrum.protocol.EngineMessages.StreamEvent;
 
-/** The faults that an engine stand-in has now. Immutable. */
+/** The active faults of an engine stand-in. Immutable. */
 record EngineFaults(
     boolean refuse,
     boolean silent,
@@ -15,27 +15,28 @@
     boolean crossChunks,
     boolean repeatChunks,
     boolean dropChunk) {
+  /** Position of the token that {@code dropChunk} drops. */
   private static final long DROPPED_POSITION = 3;
 
   static final EngineFaults NONE = new EngineFaults(false, false, false, -1, false, false, false);
 
-  /** Returns these faults with the wanted ones changed. */
-  EngineFaults with(Faults wanted) {
+  /** Returns a copy with the given changes; null components stay unchanged. */
+  EngineFaults with(Faults changes) {
     return new EngineFaults(
-        or(wanted.refuse(), refuse),
-        or(wanted.silent(), silent),
-        or(wanted.leaving(), leaving),
-        wanted.cutAfterTokens() != null ? wanted.cutAfterTokens() : cutAfterTokens,
-        or(wanted.crossChunks(), crossChunks),
-        or(wanted.repeatChunks(), repeatChunks),
-        or(wanted.dropChunk(), dropChunk));
+        valueOr(changes.refuse(), refuse),
+        valueOr(changes.silent(), silent),
+        valueOr(changes.leaving(), leaving),
+        changes.cutAfterTokens() != null ? changes.cutAfterTokens() : cutAfterTokens,
+        valueOr(changes.crossChunks(), crossChunks),
+        valueOr(changes.repeatChunks(), repeatChunks),
+        valueOr(changes.dropChunk(), dropChunk));
   }
 
-  private static boolean or(Boolean wanted, boolean present) {
-    return wanted != null ? wanted : present;
+  private static boolean valueOr(Boolean change, boolean current) {
+    return change != null ? change : current;
   }
 
-  /** Returns the events to send for one token. */
+  /** Returns the events to send for one token, according to the faults. */
   List<StreamEvent> apply(String attempt, long at, String text) {
     List<StreamEvent> events = new ArrayList<>();
     if (crossChunks) {
--- a/org.fawndrum.standin/src/org/fawndrum/standin/EngineModel.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/EngineModel.java
@@ -12,14 +12,17 @@
 import org.fawndrum.coordination.LoadReport;
 
 /**
- * A model engine by steps. Each step reads and writes a bounded number of tokens: first one token
- * for each stream that answers, then prompts in order of priority. Memory is limited; a stream
- * takes what its prompt and longest answer need and frees it at its end. What is left caches prompt
- * prefixes, the least recently used forgotten first. Confined to one thread; reads no clock.
+ * Simulates a model engine in discrete steps. Each step processes a bounded number of tokens: it
+ * first decodes one token for each decoding stream, then prefills prompts in order of priority.
+ * Memory is limited: a stream reserves memory for its prompt and its longest answer and releases it
+ * on completion. The remaining memory caches prompt prefixes, with least-recently-used eviction.
+ * Confined to one thread; reads no clock.
  */
 public final class EngineModel {
   private static final double MS_PER_SECOND = 1000.0;
-  private static final int MOST_EVENTS_KEPT = 1_024;
+
+  /** Maximum number of cache changes that are retained. */
+  private static final int MAX_CACHE_CHANGES = 1_024;
 
   private final Settings settings;
   private final List<Stream> queued = new ArrayList<>();
@@ -29,33 +32,33 @@
   private final List<CacheChange> cacheChanges = new ArrayList<>();
   private long usedTokens;
   private long arrivals;
-  private long workedTokens;
+  private long processedTokens;
   private long nextCacheChange;
 
   /**
-   * What an engine can do.
+   * The capacity of an engine.
    *
-   * @param memoryTokens cache memory, in tokens
-   * @param stepTokens tokens read and written in one step
-   * @param stepMs the time of one step, in milliseconds
+   * @param memoryTokens memory for streams and the prefix cache, in tokens
+   * @param stepTokens maximum number of tokens processed in one step
+   * @param stepMs duration of a step, in milliseconds
    */
   public record Settings(long memoryTokens, int stepTokens, long stepMs) {
-    /** Returns how many prompt tokens are read a second when nothing else runs. */
+    /** Returns the prefill rate of an otherwise idle engine, in tokens per second. */
     public long tokensPerSecond() {
       return (long) (stepTokens * MS_PER_SECOND / stepMs);
     }
   }
 
   /**
-   * A stream to run.
+   * A stream to run on the engine.
    *
-   * @param attempt its name
-   * @param ownerHost who owns what it holds
-   * @param ownerIncarnation which life of the owner
-   * @param promptTokens the prompt's length
-   * @param answerTokens the answer's length
-   * @param priority 0 to 9
-   * @param from the first position to answer
+   * @param attempt the id of the attempt
+   * @param ownerHost the host that owns the stream and its memory
+   * @param ownerIncarnation the incarnation of the owner
+   * @param promptTokens length of the prompt, in tokens
+   * @param answerTokens length of the answer, in tokens
+   * @param priority priority from 0 to 9, the highest
+   * @param from position of the first token to send
    * @param prefixes hashes of the prompt's leading blocks
    */
   public record Job(
@@ -72,37 +75,37 @@
     }
   }
 
-  /** A token of a stream, or its end when {@code end} is set. */
+  /** A token of a stream, or the completion of the stream if {@code end} is set. */
   public record Output(String attempt, long at, boolean end) {}
 
-  /** A change of the prefix cache. */
+  /** A numbered change of the prefix cache. */
   public record CacheChange(long number, List<Long> stored, List<Long> evicted) {}
 
-  /** A stream with what is left to read and where its answer stands. */
+  /** A stream with its remaining prefill tokens and the position of its answer. */
   private static final class Stream {
     final Job job;
-    final long order;
-    long toRead;
+    final long arrivalNumber;
+    long prefillTokens;
     long position;
 
-    Stream(Job job, long order) {
+    Stream(Job job, long arrivalNumber) {
       this.job = job;
-      this.order = order;
-      this.toRead = job.promptTokens() + job.from();
+      this.arrivalNumber = arrivalNumber;
+      this.prefillTokens = job.promptTokens() + job.from();
       this.position = job.from();
     }
   }
 
   private static final Comparator<Stream> BY_PRIORITY =
       Comparator.<Stream>comparingInt(stream -> -stream.job.priority())
-          .thenComparingLong(stream -> stream.order);
+          .thenComparingLong(stream -> stream.arrivalNumber);
 
-  /** Makes an idle engine with an empty cache. */
+  /** Creates an idle engine with an empty cache. */
   public EngineModel(Settings settings) {
     this.settings = settings;
   }
 
-  /** Takes a stream; returns false when it can never fit into memory or its name is in use. */
+  /** Adds a stream; returns false if it can never fit into memory or its id is in use. */
   public boolean submit(Job job) {
     if (job.memory() > settings.memoryTokens() || streams.containsKey(job.attempt())) {
       return false;
@@ -114,7 +117,7 @@
     return true;
   }
 
-  /** Ends a stream and frees what it holds; returns whether there was one. */
+  /** Removes a stream and releases its memory; returns whether it existed. */
   public boolean cancel(String attempt) {
     Stream stream = streams.remove(attempt);
     if (stream == null) {
@@ -128,24 +131,24 @@
     return true;
   }
 
-  /** Tells whether there is anything to do. */
-  public boolean idle() {
+  /** Whether there are no streams. */
+  public boolean isIdle() {
     return streams.isEmpty();
   }
 
-  /** Runs one step and returns what came of it, in order. */
+  /** Runs one step and returns its outputs, in order. */
   public List<Output> step() {
     admit();
     List<Output> outputs = new ArrayList<>();
     long budget = settings.stepTokens();
     for (Stream stream : List.copyOf(running)) {
-      if (stream.toRead == 0 && budget > 0) {
+      if (stream.prefillTokens == 0 && budget > 0) {
         budget--;
-        write(stream, outputs);
+        decode(stream, outputs);
       }
     }
-    budget = read(budget, outputs);
-    workedTokens += settings.stepTokens() - budget;
+    budget = prefill(budget, outputs);
+    processedTokens += settings.stepTokens() - budget;
     return outputs;
   }
 
@@ -160,36 +163,36 @@
       usedTokens += stream.job.memory();
       running.add(stream);
       long cached = cachedBlocks(stream.job.prefixes()) * ExpectedFinishPlacement.BLOCK_TOKENS;
-      stream.toRead = Math.max(1, stream.toRead - cached);
+      stream.prefillTokens = Math.max(1, stream.prefillTokens - cached);
       evict();
     }
   }
 
-  private long read(long budget, List<Output> outputs) {
-    List<Stream> reading = new ArrayList<>();
+  private long prefill(long budget, List<Output> outputs) {
+    List<Stream> prefilling = new ArrayList<>();
     for (Stream stream : running) {
-      if (stream.toRead > 0) {
-        reading.add(stream);
+      if (stream.prefillTokens > 0) {
+        prefilling.add(stream);
       }
     }
-    reading.sort(BY_PRIORITY);
-    long left = budget;
-    for (Stream stream : reading) {
-      long read = Math.min(left, stream.toRead);
-      stream.toRead -= read;
-      left -= read;
-      if (stream.toRead == 0 && read > 0) {
+    prefilling.sort(BY_PRIORITY);
+    long remaining = budget;
+    for (Stream stream : prefilling) {
+      long tokens = Math.min(remaining, stream.prefillTokens);
+      stream.prefillTokens -= tokens;
+      remaining -= tokens;
+      if (stream.prefillTokens == 0 && tokens > 0) {
         store(stream.job.prefixes());
-        write(stream, outputs);
+        decode(stream, outputs);
       }
-      if (left == 0) {
+      if (remaining == 0) {
         break;
       }
     }
-    return left;
+    return remaining;
   }
 
-  private void write(Stream stream, List<Output> outputs) {
+  private void decode(Stream stream, List<Output> outputs) {
     if (stream.position < stream.job.answerTokens()) {
       outputs.add(new Output(stream.job.attempt(), stream.position, false));
       stream.position++;
@@ -216,46 +219,47 @@
       }
     }
     if (!stored.isEmpty()) {
-      changed(stored, List.of());
+      recordCacheChange(stored, List.of());
     }
     evict();
   }
 
   private void evict() {
-    long room = (settings.memoryTokens() - usedTokens) / ExpectedFinishPlacement.BLOCK_TOKENS;
+    long capacityBlocks =
+        (settings.memoryTokens() - usedTokens) / ExpectedFinishPlacement.BLOCK_TOKENS;
     List<Long> evicted = new ArrayList<>();
     Iterator<Long> oldest = cache.keySet().iterator();
-    while (cache.size() > room && oldest.hasNext()) {
+    while (cache.size() > capacityBlocks && oldest.hasNext()) {
       evicted.add(oldest.next());
       oldest.remove();
     }
     if (!evicted.isEmpty()) {
-      changed(List.of(), evicted);
+      recordCacheChange(List.of(), evicted);
     }
   }
 
-  private void changed(List<Long> stored, List<Long> evicted) {
+  private void recordCacheChange(List<Long> stored, List<Long> evicted) {
     cacheChanges.add(new CacheChange(nextCacheChange++, stored, evicted));
-    if (cacheChanges.size() > MOST_EVENTS_KEPT) {
+    if (cacheChanges.size() > MAX_CACHE_CHANGES) {
       cacheChanges.remove(0);
     }
   }
 
-  /** Returns the kept cache changes from a number on; older ones are gone, which is a gap. */
+  /** Returns the retained cache changes from a number on; dropped older ones leave a gap. */
   public List<CacheChange> cacheChanges(long from) {
     return cacheChanges.stream().filter(change -> change.number() >= from).toList();
   }
 
-  /** Returns the number of the next cache change. */
+  /** Returns the number that the next cache change will get. */
   public long nextCacheChange() {
     return nextCacheChange;
   }
 
-  /** Returns the load, numbered by the caller. */
+  /** Returns a load report with the given sequence number. */
   public LoadReport load(long sequence) {
     long[] backlog = new long[LoadReport.PRIORITIES];
     for (Stream stream : streams.values()) {
-      backlog[stream.job.priority()] += stream.toRead;
+      backlog[stream.job.priority()] += stream.prefillTokens;
     }
     return new LoadReport(
         sequence,
@@ -269,22 +273,22 @@
     return queued.stream().mapToLong(stream -> stream.job.memory()).sum();
   }
 
-  /** Returns the memory that streams hold, in tokens. */
+  /** Returns the memory reserved by running streams, in tokens. */
   public long usedTokens() {
     return usedTokens;
   }
 
-  /** Returns the tokens read and written since the start. */
-  public long workedTokens() {
-    return workedTokens;
+  /** Returns the number of tokens processed since the start. */
+  public long processedTokens() {
+    return processedTokens;
   }
 
-  /** Returns the jobs that run or wait. */
+  /** Returns the running and queued jobs. */
   public List<Job> jobs() {
     return streams.values().stream().map(stream -> stream.job).toList();
   }
 
-  /** Ends every stream of an owner's incarnations up to one; returns the attempts ended. */
+  /** Removes all streams of an owner up to an incarnation; returns the ids of their attempts. */
   public List<String> sweep(String ownerHost, long upToIncarnation) {
     List<String> ended =
         jobs().stream()
--- a/org.fawndrum.standin/src/org/fawndrum/standin/EngineStandin.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/EngineStandin.java
@@ -26,11 +26,11 @@
 import org.fawndrum.protocol.EngineMessages.Swept;
 import org.fawndrum.protocol.Json;
 
-/** A model engine's stand-in: the step model behind HTTP. Confined to one event loop. */
+/** Stand-in of a model engine: an {@link EngineModel} with HTTP. Confined to one event loop. */
 public final class EngineStandin {
   private static final int UNAVAILABLE = 503;
-  private static final long ALIVE_MS = 1_000;
-  private static final long RETRY_MS = 500;
+  private static final long KEEP_ALIVE_MS = 1_000;
+  private static final long RETRY_AFTER_MS = 500;
 
   private final Vertx vertx;
   private final JsonServer server;
@@ -44,19 +44,19 @@
   private Load lastLoad;
   private long loadSequence;
 
-  /** Where a stream's events go. */
+  /** The response to which a stream's events are written. */
   private record Client(StreamOrder order, HttpServerResponse response) {}
 
   /**
-   * Makes an engine that has not started.
+   * Creates an engine that is not started.
    *
-   * @param vertx runs it
-   * @param ip where it listens
-   * @param port where it listens; 0 takes a free one
-   * @param name its host's name
-   * @param incarnation grows with each start
-   * @param settings what it can do
-   * @param loadLagMs how far its load reports lag behind, in milliseconds
+   * @param vertx the event loop
+   * @param ip the address to listen on
+   * @param port the port to listen on; 0 selects a free one
+   * @param name the name of the engine's host
+   * @param incarnation the incarnation; increases with each start
+   * @param settings the capacity of the engine
+   * @param loadLagMs delay of the load reports, in milliseconds
    */
   public EngineStandin(
       Vertx vertx,
@@ -83,14 +83,14 @@
             .on("POST /faults", Faults.class, this::faults);
   }
 
-  /** Starts listening and stepping. */
+  /** Starts to listen and to run steps. */
   public Future<HttpServer> listen() {
     return server
         .listen()
         .onSuccess(
             started -> {
               vertx.setPeriodic(settings.stepMs(), id -> step());
-              vertx.setPeriodic(ALIVE_MS, id -> sayAlive());
+              vertx.setPeriodic(KEEP_ALIVE_MS, id -> sendKeepAlives());
               vertx.setPeriodic(Math.max(1, loadLagMs), id -> lastLoad = currentLoad());
             });
   }
@@ -100,14 +100,14 @@
     return server.close();
   }
 
-  /** Returns the port it listens on. */
+  /** Returns the port on which the engine listens. */
   public int port() {
     return server.port();
   }
 
-  private void faults(HttpServerRequest request, Faults wanted) {
-    faults = faults.with(wanted);
-    JsonServer.answer(request.response(), wanted);
+  private void faults(HttpServerRequest request, Faults changes) {
+    faults = faults.with(changes);
+    JsonServer.answer(request.response(), changes);
   }
 
   private void stream(HttpServerRequest request, StreamOrder order) {
@@ -121,10 +121,10 @@
             order.priority(),
             order.from(),
             order.prefixes() == null ? List.of() : order.prefixes());
-    boolean taken = !faults.refuse() && !faults.leaving() && model.submit(job);
-    if (!taken) {
+    boolean accepted = !faults.refuse() && !faults.leaving() && model.submit(job);
+    if (!accepted) {
       request.response().setStatusCode(UNAVAILABLE);
-      JsonServer.answer(request.response(), new NotRun("no", "not taken", RETRY_MS));
+      JsonServer.answer(request.response(), new NotRun("no", "not taken", RETRY_AFTER_MS));
       return;
     }
     HttpServerResponse response = request.response();
@@ -142,7 +142,7 @@
   }
 
   private void step() {
-    if (model.idle() || faults.silent()) {
+    if (model.isIdle() || faults.silent()) {
       return;
     }
     List<EngineModel.Output> outputs = model.step();
@@ -170,14 +170,14 @@
     String text = AnswerText.at(client.order().prompt(), output.at());
     faults
         .apply(output.attempt(), output.at(), text)
-        .forEach(one -> client.response().write(event(one)));
+        .forEach(event -> client.response().write(event(event)));
   }
 
   private static String event(StreamEvent event) {
     return "data: " + Json.write(event) + "\n\n";
   }
 
-  private void sayAlive() {
+  private void sendKeepAlives() {
     if (!faults.silent()) {
       clients.values().forEach(client -> client.response().write(": alive\n\n"));
     }
@@ -216,7 +216,7 @@
     long from = JsonServer.number(request, "from", 0);
     List<CacheEvent> events =
         model.cacheChanges(from).stream()
-            .map(one -> new CacheEvent(one.number(), one.stored(), one.evicted()))
+            .map(change -> new CacheEvent(change.number(), change.stored(), change.evicted()))
             .toList();
     JsonServer.answer(request.response(), new CacheEvents(events));
   }
@@ -224,24 +224,24 @@
   private void holdings(HttpServerRequest request) {
     Map<String, Holding> byOwner = new LinkedHashMap<>();
     for (EngineModel.Job job : model.jobs()) {
-      Holding one =
+      Holding holding =
           new Holding(
               job.ownerHost(), job.ownerIncarnation(), 1, job.promptTokens() + job.answerTokens());
-      byOwner.merge(job.ownerHost() + "#" + job.ownerIncarnation(), one, EngineStandin::sum);
+      byOwner.merge(job.ownerHost() + "#" + job.ownerIncarnation(), holding, EngineStandin::sum);
     }
     JsonServer.answer(request.response(), new Holdings(new ArrayList<>(byOwner.values())));
   }
 
-  private static Holding sum(Holding one, Holding other) {
+  private static Holding sum(Holding first, Holding second) {
     return new Holding(
-        one.ownerHost(),
-        one.ownerIncarnation(),
-        one.streams() + other.streams(),
-        one.tokens() + other.tokens());
+        first.ownerHost(),
+        first.ownerIncarnation(),
+        first.streams() + second.streams(),
+        first.tokens() + second.tokens());
   }
 
   private void sweep(HttpServerRequest request, Sweep sweep) {
-    long before = model.usedTokens();
+    long usedBefore = model.usedTokens();
     List<String> ended = model.sweep(sweep.ownerHost(), sweep.upToIncarnation());
     for (String attempt : ended) {
       Client client = clients.remove(attempt);
@@ -249,6 +249,6 @@
         client.response().reset();
       }
     }
-    JsonServer.answer(request.response(), new Swept(ended.size(), before - model.usedTokens()));
+    JsonServer.answer(request.response(), new Swept(ended.size(), usedBefore - model.usedTokens()));
   }
 }
--- a/org.fawndrum.standin/src/org/fawndrum/standin/JsonServer.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/JsonServer.java
@@ -14,19 +14,19 @@
 import java.util.function.BiConsumer;
 import org.fawndrum.protocol.Json;
 
-/** A small HTTP server with a handler for each method and path, all on one event loop. */
+/** A minimal HTTP server with one handler per method and path. Confined to one event loop. */
 final class JsonServer {
   private static final int NOT_FOUND = 404;
   private static final int BAD_REQUEST = 400;
 
   private final HttpServer server;
   private final Map<String, Route> routes = new HashMap<>();
-  private Route otherwise = (request, body) -> status(request.response(), NOT_FOUND);
+  private Route fallback = (request, body) -> status(request.response(), NOT_FOUND);
 
-  /** Handles one whole request. */
+  /** Handles a request whose body was received completely. */
   interface Route extends BiConsumer<HttpServerRequest, Buffer> {}
 
-  /** Handles one request whose body was read as a message. */
+  /** Handles a request whose body was parsed as a message. */
   interface MessageRoute<T> extends BiConsumer<HttpServerRequest, T> {}
 
   JsonServer(Vertx vertx, String ip, int port) {
@@ -56,13 +56,13 @@
         });
   }
 
-  JsonServer otherwise(Route route) {
-    otherwise = route;
+  JsonServer fallback(Route route) {
+    fallback = route;
     return this;
   }
 
   private void handle(HttpServerRequest request) {
-    Route route = routes.getOrDefault(request.method() + " " + request.path(), otherwise);
+    Route route = routes.getOrDefault(request.method() + " " + request.path(), fallback);
     request.body().onSuccess(body -> route.accept(request, body));
   }
 
@@ -86,12 +86,12 @@
     response.setStatusCode(code).end("{}");
   }
 
-  static long number(HttpServerRequest request, String name, long otherwise) {
+  static long number(HttpServerRequest request, String name, long defaultValue) {
     String text = request.getParam(name);
     try {
-      return text == null ? otherwise : Long.parseLong(text);
+      return text == null ? defaultValue : Long.parseLong(text);
     } catch (NumberFormatException e) {
-      return otherwise;
+      return defaultValue;
     }
   }
 }
--- a/org.fawndrum.standin/src/org/fawndrum/standin/JsonStandin.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/JsonStandin.java
@@ -5,7 +5,7 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpServer;
 
-/** A stand-in that is one small HTTP server; its constructor adds the routes. */
+/** Base class of stand-ins with one HTTP server; the subclass's constructor adds the routes. */
 abstract class JsonStandin {
   final JsonServer server;
 
@@ -23,7 +23,7 @@
     return server.close();
   }
 
-  /** Returns the port it listens on. */
+  /** Returns the port on which the stand-in listens. */
   public int port() {
     return server.port();
   }
--- a/org.fawndrum.standin/src/org/fawndrum/standin/PlainStandin.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/PlainStandin.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * A plain service's stand-in. It runs any call and counts the runs of each key, where the key is
- * the Idempotency-Key header or else the path with its query. Confined to one event loop.
+ * Stand-in of a plain service. Runs any request and counts the runs per key. The key is the
+ * Idempotency-Key header, or the path with its query if there is none. Confined to one event loop.
  */
 public final class PlainStandin extends JsonStandin {
   private static final int UNAVAILABLE = 503;
@@ -20,21 +20,21 @@
   private Faults faults = new Faults(false, false, 0);
 
   /**
-   * Faults of the service.
+   * The active faults of the service.
    *
-   * @param refuse answer that the call was not run
-   * @param cutAfterRun run the call and close the connection without an answer
-   * @param slowMs time that a run takes, in milliseconds
+   * @param refuse refuse requests without running them
+   * @param cutAfterRun run the request and close the connection without an answer
+   * @param slowMs duration of a run, in milliseconds
    */
   public record Faults(boolean refuse, boolean cutAfterRun, long slowMs) {}
 
-  /** How often each key was run. */
+  /** The number of runs of each key. */
   public record Runs(Map<String, Integer> runs) {}
 
-  /** What a run answers. */
+  /** The answer of a run. */
   public record Answer(String service, String path, int run) {}
 
-  /** Makes a service that has not started; port 0 takes a free one. */
+  /** Creates a service that is not started; port 0 selects a free port. */
   public PlainStandin(Vertx vertx, String ip, int port, String name) {
     super(vertx, ip, port);
     this.vertx = vertx;
@@ -44,12 +44,12 @@
             "GET /runs",
             (request, body) -> JsonServer.answer(request.response(), new Runs(new TreeMap<>(runs))))
         .on("POST /faults", Faults.class, this::faults)
-        .otherwise(this::run);
+        .fallback(this::run);
   }
 
-  private void faults(HttpServerRequest request, Faults wanted) {
-    faults = wanted;
-    JsonServer.answer(request.response(), wanted);
+  private void faults(HttpServerRequest request, Faults newFaults) {
+    faults = newFaults;
+    JsonServer.answer(request.response(), newFaults);
   }
 
   private void run(HttpServerRequest request, Buffer body) {
--- a/org.fawndrum.standin/src/org/fawndrum/standin/PlatformStandin.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/PlatformStandin.java
@@ -16,22 +16,26 @@
 import org.fawndrum.protocol.PlatformMessages.StoredRecord;
 
 /**
- * The platform's stand-in: an append-only log with offsets and limited retention, and a list of
- * hosts that lags. All state is confined to one event loop.
+ * Stand-in of the platform: an append-only log with offsets and limited retention, and a host list
+ * whose changes become visible with a delay. Confined to one event loop.
  */
 public final class PlatformStandin extends JsonStandin {
-  private static final int TOO_MANY = 429;
+  private static final int TOO_MANY_REQUESTS = 429;
   private static final int UNAVAILABLE = 503;
-  private static final int DEFAULT_MOST = 500;
-  private static final long WAIT_LOOK_MS = 10;
-  private static final long WINDOW_MS = 1_000;
+  private static final int DEFAULT_BATCH_SIZE = 500;
+
+  /** Poll interval of a read that waits for new records, in milliseconds. */
+  private static final long WAIT_POLL_MS = 10;
+
+  /** Window of the limit on appends, in milliseconds. */
+  private static final long RATE_WINDOW_MS = 1_000;
 
   private final Vertx vertx;
   private final int appendsPerSecond;
   private final int retention;
   private final Deque<StoredRecord> records = new ArrayDeque<>();
   private final List<Listing> listings = new ArrayList<>();
-  private long next;
+  private long nextOffset;
   private long windowStartMs;
   private int appendsInWindow;
   private boolean down;
@@ -39,17 +43,17 @@
   private long slowMs;
   private long listLagMs;
 
-  /** A list with the time from which it was true. */
+  /** A version of the host list and the time of its creation. */
   private record Listing(long sinceMs, HostList list) {}
 
   /**
-   * Makes a platform that has not started.
+   * Creates a platform that is not started.
    *
-   * @param vertx runs it
-   * @param ip where it listens
-   * @param port where it listens; 0 takes a free one
-   * @param appendsPerSecond how many appends it takes a second
-   * @param retention how many records it keeps
+   * @param vertx the event loop
+   * @param ip the address to listen on
+   * @param port the port to listen on; 0 selects a free one
+   * @param appendsPerSecond maximum number of appends per second
+   * @param retention maximum number of records in the log
    */
   public PlatformStandin(Vertx vertx, String ip, int port, int appendsPerSecond, int retention) {
     super(vertx, ip, port);
@@ -61,7 +65,7 @@
         .on("POST /log", Append.class, this::append)
         .on("GET /log", (request, body) -> read(request))
         .on("GET /hosts", (request, body) -> hosts(request))
-        .on("POST /hosts", ListedHost.class, this::list)
+        .on("POST /hosts", ListedHost.class, this::listHost)
         .on("POST /faults", Faults.class, this::faults);
   }
 
@@ -83,35 +87,35 @@
     }
   }
 
-  private boolean refusedAsDown(HttpServerRequest request) {
+  private boolean rejectIfDown(HttpServerRequest request) {
     if (down) {
       JsonServer.status(request.response(), UNAVAILABLE);
     }
     return down;
   }
 
-  private void slowly(Runnable step) {
+  private void runDelayed(Runnable action) {
     if (slowMs > 0) {
-      vertx.setTimer(slowMs, id -> step.run());
+      vertx.setTimer(slowMs, id -> action.run());
     } else {
-      step.run();
+      action.run();
     }
   }
 
   private void append(HttpServerRequest request, Append append) {
-    if (refusedAsDown(request)) {
+    if (rejectIfDown(request)) {
       return;
     }
     long nowMs = System.currentTimeMillis();
-    if (nowMs - windowStartMs >= WINDOW_MS) {
+    if (nowMs - windowStartMs >= RATE_WINDOW_MS) {
       windowStartMs = nowMs;
       appendsInWindow = 0;
     }
     if (++appendsInWindow > appendsPerSecond) {
-      JsonServer.status(request.response(), TOO_MANY);
+      JsonServer.status(request.response(), TOO_MANY_REQUESTS);
       return;
     }
-    long offset = next++;
+    long offset = nextOffset++;
     records.addLast(new StoredRecord(offset, append.content()));
     if (records.size() > retention) {
       records.removeFirst();
@@ -120,35 +124,35 @@
       request.connection().close();
       return;
     }
-    slowly(() -> JsonServer.answer(request.response(), new Appended(offset)));
+    runDelayed(() -> JsonServer.answer(request.response(), new Appended(offset)));
   }
 
   private void read(HttpServerRequest request) {
-    if (refusedAsDown(request)) {
+    if (rejectIfDown(request)) {
       return;
     }
     long from = JsonServer.number(request, "from", 0);
-    int most = (int) JsonServer.number(request, "most", DEFAULT_MOST);
+    int limit = (int) JsonServer.number(request, "most", DEFAULT_BATCH_SIZE);
     long untilMs = System.currentTimeMillis() + JsonServer.number(request, "waitMs", 0);
-    slowly(() -> readOrWait(request, from, most, untilMs));
+    runDelayed(() -> readOrWait(request, from, limit, untilMs));
   }
 
-  private void readOrWait(HttpServerRequest request, long from, int most, long untilMs) {
-    if (request.response().closed() || refusedAsDown(request)) {
+  private void readOrWait(HttpServerRequest request, long from, int limit, long untilMs) {
+    if (request.response().closed() || rejectIfDown(request)) {
       return;
     }
-    if (from >= next && System.currentTimeMillis() < untilMs) {
-      vertx.setTimer(WAIT_LOOK_MS, id -> readOrWait(request, from, most, untilMs));
+    if (from >= nextOffset && System.currentTimeMillis() < untilMs) {
+      vertx.setTimer(WAIT_POLL_MS, id -> readOrWait(request, from, limit, untilMs));
       return;
     }
-    long first = records.isEmpty() ? next : records.peekFirst().offset();
+    long first = records.isEmpty() ? nextOffset : records.peekFirst().offset();
     List<StoredRecord> batch =
-        records.stream().filter(one -> one.offset() >= from).limit(most).toList();
-    JsonServer.answer(request.response(), new Batch(first, next, batch));
+        records.stream().filter(stored -> stored.offset() >= from).limit(limit).toList();
+    JsonServer.answer(request.response(), new Batch(first, nextOffset, batch));
   }
 
   private void hosts(HttpServerRequest request) {
-    if (refusedAsDown(request)) {
+    if (rejectIfDown(request)) {
       return;
     }
     long asOfMs = System.currentTimeMillis() - listLagMs;
@@ -158,15 +162,15 @@
         list = listing.list();
       }
     }
-    boolean known = list.version() <= JsonServer.number(request, "after", -1);
-    HostList answer = known ? new HostList(list.version(), null) : list;
+    boolean unchanged = list.version() <= JsonServer.number(request, "after", -1);
+    HostList answer = unchanged ? new HostList(list.version(), null) : list;
     JsonServer.answer(request.response(), answer);
   }
 
-  private void list(HttpServerRequest request, ListedHost host) {
+  private void listHost(HttpServerRequest request, ListedHost host) {
     HostList newest = listings.get(listings.size() - 1).list();
     List<ListedHost> hosts = new ArrayList<>(newest.hosts());
-    hosts.removeIf(one -> one.name().equals(host.name()));
+    hosts.removeIf(listed -> listed.name().equals(host.name()));
     hosts.add(host);
     HostList changed = new HostList(newest.version() + 1, List.copyOf(hosts));
     listings.add(new Listing(System.currentTimeMillis(), changed));
--- a/org.fawndrum.standin/src/org/fawndrum/standin/StandinMain.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/StandinMain.java
@@ -14,7 +14,7 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
 
-/** Starts one stand-in as a process: {@code platform}, {@code model} or {@code plain}. */
+/** Main class that runs one stand-in: {@code platform}, {@code model} or {@code plain}. */
 public final class StandinMain {
   private static final int USAGE = 2;
   private static final int FAILED = 1;
@@ -22,13 +22,13 @@
   @Argument(index = 0, required = true, metaVar = "KIND", usage = "platform, model or plain")
   private String kind;
 
-  @Option(name = "--ip", usage = "IP number to listen on")
+  @Option(name = "--ip", usage = "IP address to listen on")
   private String ip = "127.0.0.1";
 
   @Option(name = "--port", required = true, usage = "port to listen on")
   private int port;
 
-  @Option(name = "--name", usage = "host name that the platform lists")
+  @Option(name = "--name", usage = "host name for the platform's list")
   private String name = "standin";
 
   @Option(name = "--zone", usage = "availability zone")
@@ -37,30 +37,30 @@
   @Option(name = "--serves", usage = "models or services, separated by commas")
   private String serves = "";
 
-  @Option(name = "--platform", usage = "port of the platform to be listed at")
+  @Option(name = "--platform", usage = "port of the platform at which to register")
   private int platform;
 
-  @Option(name = "--memory", usage = "cache memory of an engine, in tokens")
+  @Option(name = "--memory", usage = "memory of an engine, in tokens")
   private long memory = 400_000;
 
-  @Option(name = "--step-ms", usage = "time of an engine's step, in milliseconds")
+  @Option(name = "--step-ms", usage = "duration of an engine's step, in milliseconds")
   private long stepMs = 25;
 
-  @Option(name = "--step-tokens", usage = "tokens of an engine's step")
+  @Option(name = "--step-tokens", usage = "maximum number of tokens per engine step")
   private int stepTokens = 1_024;
 
-  @Option(name = "--lag-ms", usage = "lag of an engine's load reports, in milliseconds")
+  @Option(name = "--lag-ms", usage = "delay of an engine's load reports, in milliseconds")
   private long lagMs = 200;
 
-  @Option(name = "--appends", usage = "appends that the platform takes a second")
+  @Option(name = "--appends", usage = "maximum number of appends to the platform per second")
   private int appends = 300;
 
-  @Option(name = "--retention", usage = "records that the platform keeps")
+  @Option(name = "--retention", usage = "number of records that the platform retains")
   private int retention = 10_000;
 
   private StandinMain() {}
 
-  /** Runs a stand-in until the process is ended. Exit codes: 1 failed, 2 wrong usage. */
+  /** Runs a stand-in until the process is terminated. Exit codes: 1 failure, 2 wrong usage. */
   public static void main(String[] args) {
     StandinMain main = new StandinMain();
     CmdLineParser parser = new CmdLineParser(main);
@@ -78,8 +78,8 @@
     Vertx vertx = Vertx.vertx();
     long incarnation = System.currentTimeMillis();
     start(vertx, incarnation)
-        .compose(server -> listed(vertx, incarnation))
-        .onSuccess(done -> System.out.println(kind + " " + name + " listens on " + port))
+        .compose(server -> register(vertx, incarnation))
+        .onSuccess(done -> System.out.println(kind + " " + name + " is listening on " + port))
         .onFailure(
             cause -> {
               System.err.println(cause);
@@ -97,13 +97,13 @@
       case "plain":
         return new PlainStandin(vertx, ip, port, name).listen();
       default:
-        System.err.println("KIND is platform, model or plain");
+        System.err.println("KIND must be platform, model or plain");
         System.exit(USAGE);
         return null;
     }
   }
 
-  private Future<Void> listed(Vertx vertx, long incarnation) {
+  private Future<Void> register(Vertx vertx, long incarnation) {
     if (platform == 0) {
       return Future.succeededFuture();
     }
--- a/org.fawndrum.standin/src/org/fawndrum/standin/package-info.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/package-info.java
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * Small stand-ins for what lies outside the system: the platform, a model engine and a plain
- * service. They are for trying things and for tests; their faults are set by a control call.
+ * Stand-ins for the systems outside fawndrum: the platform, a model engine and a plain service.
+ * They are meant for demos and tests. Faults are injected with a control request.
  */
 package org.fawndrum.standin;
