--- a/org.fawndrum.bench/src/org/fawndrum/bench/SlopeBench.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/SlopeBench.java
@@ -169,7 +169,7 @@
   private void heartbeats() {
     System.out.println();
     System.out.println(
-        "heartbeats in a zone with the load of 27 engines each; bytes of messages in both directions");
+        "heartbeats in a zone, with the load of 27 engines each; message bytes in both directions");
     System.out.println("daemons  interval ms  messages/s  message bytes/s  microseconds/s");
     for (int daemons : DAEMONS) {
       new ZoneSimulation(daemons).print();
