--- a/org.fawndrum.bench/src/org/fawndrum/bench/FleetSimulation.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/FleetSimulation.java
@@ -97,8 +97,8 @@
     for (int i = 0; i < settings.hosts(); i++) {
       HostIdentity self = new HostIdentity("host-" + i, 1);
       RequestCoordinator host = new RequestCoordinator(self, zone(i), policies.get());
-      host.table(table, 0);
-      host.endpoints(endpoints, 0);
+      host.updateTable(table, 0);
+      host.updateEndpoints(endpoints, 0);
       hosts.add(host);
     }
   }
@@ -180,7 +180,7 @@
         () -> {
           for (int i = 0; i < hosts.size(); i++) {
             if (!isPartitioned(i, engine)) {
-              execute(i, hosts.get(i).load(engine.endpoint.identity(), load, nowMs));
+              execute(i, hosts.get(i).loadReported(engine.endpoint.identity(), load, nowMs));
             }
           }
         });
@@ -279,7 +279,7 @@
   private void attemptEvent(AttemptId attempt, AttemptEvent event) {
     InFlightRequest request = inFlight.get(attempt.requestId());
     if (request != null) {
-      execute(request.host, hosts.get(request.host).attempt(attempt, event, nowMs));
+      execute(request.host, hosts.get(request.host).attemptEvent(attempt, event, nowMs));
     }
   }
 
--- a/org.fawndrum.bench/src/org/fawndrum/bench/PolicyBench.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/PolicyBench.java
@@ -11,8 +11,8 @@
 import org.fawndrum.state.Cell;
 import org.fawndrum.state.CellKey;
 import org.fawndrum.state.Column;
-import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
+import org.fawndrum.state.TableRevisionBuilder;
 import org.kohsuke.args4j.Option;
 
 /** Measures all policies on the same workloads. */
@@ -92,7 +92,7 @@
   }
 
   private static TableRevision table() {
-    TableParts builder = new TableParts(0, 0);
+    TableRevisionBuilder builder = new TableRevisionBuilder(0, 0);
     for (int workspace = 0; workspace < Workload.WORKSPACES; workspace++) {
       for (String className : List.of("quick", "long")) {
         CallerGroup group = new CallerGroup("w" + workspace, className);
@@ -106,7 +106,8 @@
     return builder.build();
   }
 
-  private static void cell(TableParts builder, CallerGroup group, Column column, String value) {
+  private static void cell(
+      TableRevisionBuilder builder, CallerGroup group, Column column, String value) {
     builder.cell(new CellKey(group, column), new Cell(value, 0, "bench"));
   }
 
--- a/org.fawndrum.bench/src/org/fawndrum/bench/SlopeBench.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/SlopeBench.java
@@ -31,8 +31,8 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.Publication;
-import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
+import org.fawndrum.state.TableRevisionBuilder;
 
 /** Measures how costs grow with the size of a deployment, for the capacity page. */
 final class SlopeBench implements BenchCommand {
@@ -60,7 +60,7 @@
   }
 
   private static TableRevision table(int rows) {
-    TableParts parts = new TableParts(0, 0);
+    TableRevisionBuilder parts = new TableRevisionBuilder(0, 0);
     for (int row = 0; row < rows; row++) {
       for (Column column : Column.values()) {
         if (!column.defaultValue().isEmpty()) {
@@ -125,20 +125,20 @@
         1_000_000 / micros,
         bytes,
         bytesAfter);
-    if (coordinator.open() != 0) {
-      System.out.println("still open: " + coordinator.open());
+    if (coordinator.openCount() != 0) {
+      System.out.println("still open: " + coordinator.openCount());
     }
   }
 
   private static RequestCoordinator coordinatorWith(int endpoints, int rows) {
     RequestCoordinator coordinator =
         new RequestCoordinator(new HostIdentity("h", 1), "zone", Policies.standard());
-    coordinator.table(table(rows), 0);
+    coordinator.updateTable(table(rows), 0);
     List<Endpoint> fleet = endpoints(endpoints);
-    coordinator.endpoints(fleet, 0);
+    coordinator.updateEndpoints(fleet, 0);
     for (Endpoint endpoint : fleet) {
       LoadReport load = new LoadReport(1, new long[LoadReport.PRIORITIES], MEMORY, 0, 40_960);
-      coordinator.load(endpoint.identity(), load, 0);
+      coordinator.loadReported(endpoint.identity(), load, 0);
     }
     return coordinator;
   }
@@ -159,8 +159,8 @@
               List.of((long) i % 50, (long) i));
       for (Action action : coordinator.arrive(facts, nowMs)) {
         if (action instanceof Action.Send send) {
-          coordinator.attempt(send.attempt(), AttemptEvent.ANSWERING, nowMs);
-          coordinator.attempt(send.attempt(), AttemptEvent.ANSWERED, nowMs);
+          coordinator.attemptEvent(send.attempt(), AttemptEvent.ANSWERING, nowMs);
+          coordinator.attemptEvent(send.attempt(), AttemptEvent.ANSWERED, nowMs);
         }
       }
     }
@@ -209,9 +209,9 @@
     void print() {
       for (int i = 1; i < daemons; i++) {
         for (int j = 0; j < daemons; j++) {
-          members.get(j).heard(facts(i, ++sequences[i]), 0);
+          members.get(j).receive(facts(i, ++sequences[i]), 0);
         }
-        members.get(i).heard(facts(0, ++sequences[0]), 0);
+        members.get(i).receive(facts(0, ++sequences[0]), 0);
       }
       run(0, RUN_MS);
       bytes = 0;
@@ -233,8 +233,8 @@
     private void run(long fromMs, long toMs) {
       for (long nowMs = fromMs; nowMs < toMs; nowMs += TICK_MS) {
         for (int i = 0; i < daemons; i++) {
-          members.get(i).suspects(nowMs);
-          Set<HostAddress> due = members.get(i).dueNow(nowMs);
+          members.get(i).updateSuspects(nowMs);
+          Set<HostAddress> due = members.get(i).dueHeartbeats(nowMs);
           if (!due.isEmpty()) {
             send(i, due, nowMs);
           }
@@ -246,7 +246,7 @@
       PeerFacts facts = facts(from, ++sequences[from]);
       for (HostAddress to : due) {
         byte[] frame =
-            PeerCodec.from(identity(from))
+            PeerCodec.newMessage(identity(from))
                 .setHeartbeat(
                     PeerCodec.heartbeat(facts)
                         .setLoadDigest(
@@ -259,7 +259,7 @@
         int index = Integer.parseInt(to.ip().substring(to.ip().lastIndexOf('.') + 1));
         var message = PeerCodec.read(frame);
         PeerFacts read = PeerCodec.facts(PeerCodec.sender(message), message.getHeartbeat());
-        members.get(index).heard(read, nowMs);
+        members.get(index).receive(read, nowMs);
       }
     }
 
--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/DaemonMain.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/DaemonMain.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import org.fawndrum.errors.BadSettingsException;
 import org.fawndrum.settings.HostSettings;
-import org.fawndrum.settings.ReadSettings;
+import org.fawndrum.settings.SettingsReader;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
@@ -20,12 +20,12 @@
 
   /** Runs the daemon. Exit codes: 0 stopped, 1 failed, 2 invalid settings or usage. */
   public static void main(String[] args) {
-    LogSetup.chooseBackEnd();
+    LogSetup.selectLogManager();
     DaemonMain main = new DaemonMain();
     CmdLineParser parser = new CmdLineParser(main);
     try {
       parser.parseArgument(args);
-      HostSettings settings = new ReadSettings(Path.of(main.file)).call();
+      HostSettings settings = new SettingsReader(Path.of(main.file)).read();
       LogSetup.configure(settings.jsonLog(), settings.debugLog());
       new RunDaemon(settings, main.file).call();
     } catch (CmdLineException e) {
--- a/org.fawndrum.daemon/src/org/fawndrum/daemon/LogSetup.java
+++ b/org.fawndrum.daemon/src/org/fawndrum/daemon/LogSetup.java
@@ -20,7 +20,7 @@
   private LogSetup() {}
 
   /** Selects the log manager. Must be called before any logger is created. */
-  public static void chooseBackEnd() {
+  public static void selectLogManager() {
     System.setProperty("java.util.logging.manager", "org.jboss.logmanager.LogManager");
     System.setProperty("org.jboss.logging.provider", "jboss");
     System.setProperty(
@@ -45,7 +45,7 @@
    *
    * @param debug whether each decision is logged in full
    */
-  public static void configureOutput(boolean debug) {
+  public static void configureJsonOutput(boolean debug) {
     ConsoleHandler output =
         new ConsoleHandler(ConsoleHandler.Target.SYSTEM_OUT, new JsonLineFormatter());
     output.setLevel(Level.ALL);
--- a/org.fawndrum.daemon/tst/org/fawndrum/daemon/WholePathTest.java
+++ b/org.fawndrum.daemon/tst/org/fawndrum/daemon/WholePathTest.java
@@ -51,7 +51,7 @@
     site.startStandardSite();
     HttpResponse<String> response = site.chat(site.hosts.get(0), "hello there", 20);
     assertEquals(OK, response.statusCode());
-    assertEquals(AnswerText.whole("hello there", 20), content(response));
+    assertEquals(AnswerText.fullText("hello there", 20), content(response));
   }
 
   @Test
@@ -71,7 +71,7 @@
       site.engineFaults(one, fault);
       for (int i = 0; i < 4; i++) {
         String prompt = "prompt " + i;
-        assertEquals(AnswerText.whole(prompt, 12), content(site.chat(host, prompt, 12)));
+        assertEquals(AnswerText.fullText(prompt, 12), content(site.chat(host, prompt, 12)));
       }
       site.engineFaults(one, NONE);
     }
@@ -156,7 +156,7 @@
     HttpResponse<String> refused = site.chat(stopping, "too late", 4);
     assertEquals("draining", code(refused));
     assertEquals("no", ran(refused));
-    assertEquals(AnswerText.whole("long answer", 600), content(inProgress.join()));
+    assertEquals(AnswerText.fullText("long answer", 600), content(inProgress.join()));
     drained.join();
     HttpResponse<String> again = site.order(other, "k3", 1);
     assertEquals("already_ran", code(again));
@@ -211,7 +211,7 @@
     EntryHostRuntime late = site.host("host-a2", "a");
     TestSite.until("ready from peers", () -> "ready".equals(late.status().state()));
     assertEquals(revision, late.status().tableRevision());
-    assertEquals(AnswerText.whole("hi", 5), content(site.chat(late, "hi", 5)));
+    assertEquals(AnswerText.fullText("hi", 5), content(site.chat(late, "hi", 5)));
     assertEquals("not_registered", code(site.order(late, "k4", 0)));
   }
 
@@ -280,7 +280,7 @@
     int calls = 60;
     for (int i = 0; i < calls; i++) {
       String prompt = "rolling " + i;
-      String expected = AnswerText.whole(prompt, 30);
+      String expected = AnswerText.fullText(prompt, 30);
       int index = i;
       TestSite.until("whole answer " + i, () -> expected.equals(chatContent(live, index, prompt)));
       site.order(live.get(index % live.size()), "roll-" + i, 0);
--- a/org.fawndrum.pgm/src/org/fawndrum/pgm/Check.java
+++ b/org.fawndrum.pgm/src/org/fawndrum/pgm/Check.java
@@ -3,10 +3,10 @@
 
 import java.nio.file.Path;
 import org.fawndrum.settings.HostSettings;
-import org.fawndrum.settings.ReadSettings;
 import org.fawndrum.settings.SettingsFile;
-import org.fawndrum.transport.relay.ReadRelaySettings;
+import org.fawndrum.settings.SettingsReader;
 import org.fawndrum.transport.relay.RelaySettings;
+import org.fawndrum.transport.relay.RelaySettingsReader;
 import org.kohsuke.args4j.Argument;
 
 /** Validates a settings file and reports all errors in it. */
@@ -21,10 +21,10 @@
   int call() {
     Path path = Path.of(file);
     if (SettingsFile.tree(path).has(RELAY_KEY)) {
-      RelaySettings settings = new ReadRelaySettings(path).call();
+      RelaySettings settings = new RelaySettingsReader(path).read();
       printValid(settings.host(), settings.zone());
     } else {
-      HostSettings settings = new ReadSettings(path).call();
+      HostSettings settings = new SettingsReader(path).read();
       printValid(settings.host(), settings.zone());
     }
     return ExitCode.DONE;
--- a/org.fawndrum.pgm/src/org/fawndrum/pgm/TableCommand.java
+++ b/org.fawndrum.pgm/src/org/fawndrum/pgm/TableCommand.java
@@ -16,8 +16,8 @@
 import org.fawndrum.state.Cell;
 import org.fawndrum.state.CellKey;
 import org.fawndrum.state.Column;
-import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
+import org.fawndrum.state.TableRevisionBuilder;
 
 /** Base class of the commands that change the table. */
 abstract class TableCommand extends DaemonCommand {
@@ -29,7 +29,7 @@
   /** Returns the current table of the daemon. */
   TableRevision table() throws IOException, InterruptedException {
     TableView view = get("/table", TableView.class);
-    TableParts builder = new TableParts(view.revision(), view.position());
+    TableRevisionBuilder builder = new TableRevisionBuilder(view.revision(), view.position());
     for (CellView cell : view.cells()) {
       Column column = Column.named(cell.column());
       if (column != null) {
--- a/org.fawndrum.pgm/src/org/fawndrum/pgm/Version.java
+++ b/org.fawndrum.pgm/src/org/fawndrum/pgm/Version.java
@@ -7,7 +7,7 @@
 final class Version extends Command {
   @Override
   int call() {
-    out().println("fawndrum " + Versions.own());
+    out().println("fawndrum " + Versions.current());
     return ExitCode.DONE;
   }
 }
--- a/org.fawndrum.pgm/tst/org/fawndrum/pgm/SamplesTest.java
+++ b/org.fawndrum.pgm/tst/org/fawndrum/pgm/SamplesTest.java
@@ -11,7 +11,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.fawndrum.protocol.TableCsv;
-import org.fawndrum.settings.ReadSettings;
+import org.fawndrum.settings.SettingsReader;
 import org.fawndrum.state.TableRevision;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -32,7 +32,7 @@
   @ValueSource(strings = {"hala-a", "hala-b"})
   void sampleSettingsAreValid(String name) {
     Path file = SAMPLES.resolve("demo").resolve(name + ".json");
-    assertEquals(name + "-1", new ReadSettings(file).call().host());
+    assertEquals(name + "-1", new SettingsReader(file).read().host());
   }
 
   private static int run(ByteArrayOutputStream out, String... args) {
--- a/org.fawndrum.soak/src/org/fawndrum/soak/SoakEndpoint.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/SoakEndpoint.java
@@ -13,7 +13,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.fawndrum.platform.standin.EndpointStandin;
-import org.fawndrum.platform.standin.TicketUses;
+import org.fawndrum.platform.standin.TicketUsage;
 import org.fawndrum.platform.wire.ReserveMessage;
 import org.fawndrum.state.HostAddress;
 
@@ -83,7 +83,7 @@
       Vertx vertx,
       NetClient client,
       PromiseChecker checker,
-      TicketUses uses,
+      TicketUsage uses,
       String id,
       String service,
       int events,
@@ -168,7 +168,7 @@
     long nowMs = Soak.nowMs();
     openRuns.keySet().forEach(run -> run.abort(nowMs));
     openRuns.clear();
-    standin.forget();
+    standin.forgetOpenRequests();
   }
 
   /** Restarts under the same id without the previous state, as a later incarnation. */
@@ -176,7 +176,7 @@
     dropWork();
     checker.reservations().recordEngineEnd(id, Soak.nowMs());
     checker.notices().recordRestart(id);
-    standin.startAgain(standin.bornMs() + INCARNATION_STEP_MS);
+    standin.restart(standin.startMs() + INCARNATION_STEP_MS);
   }
 
   /** Crashes with all open requests, and restarts after a while. */
@@ -208,7 +208,7 @@
   /** Signals in each answer that it is shutting down, until it restarts; its entry doesn't. */
   void announceDraining() {
     inUse = false;
-    standin.sayLeaving();
+    standin.announceDraining();
   }
 
   /** Sets whether it rejects requests and asks the hosts to back off. */
@@ -236,7 +236,7 @@
   }
 
   @Override
-  public void ordered(ReserveMessage command) {
+  public void onMemoryCommand(ReserveMessage command) {
     if (command.operation().equals("reserve")) {
       checker.reservations().recordReserved(command.ticket(), id, command.holdMs(), Soak.nowMs());
     } else {
@@ -251,18 +251,18 @@
       request.connection().close();
       return true;
     }
-    EndpointStandin.Seen seen = EndpointStandin.seen(request);
+    EndpointStandin.ReceivedRequest seen = EndpointStandin.received(request);
     EndpointRun run = begin(seen.requestId(), request);
     checker.notices().recordArrival(seen.requestId(), id, Soak.nowMs());
     if (requestsBackoff) {
-      endpoint.turnAwayFor(request, BACKOFF_S);
+      endpoint.rejectWithBackoff(request, BACKOFF_S);
       if (!impaired) {
         checker.notices().recordBackoff(seen.requestId(), id, BACKOFF_MS, Soak.nowMs());
       }
       return true;
     }
     if (rejects) {
-      endpoint.turnAway(request);
+      endpoint.reject(request);
       return true;
     }
     checker.recordRun(seen.requestId(), seen.uri(), seen.workspace());
@@ -279,7 +279,7 @@
     boolean prefills = request.path().startsWith(LONG_PATH) && seen.lastEventId() == null;
     if (prefills) {
       long prefillMs = MIN_PREFILL_MS + number % PREFILL_STEPS * PREFILL_STEP_MS;
-      BooleanSupplier remembered = standin.remembered();
+      BooleanSupplier remembered = standin.rememberedSince();
       vertx.setTimer(prefillMs, timer -> answerLate(endpoint, request, remembered));
     }
     return prefills;
@@ -293,14 +293,14 @@
   }
 
   private EndpointRun begin(String requestId, HttpServerRequest request) {
-    List<String> tickets = TicketUses.tickets(request.getHeader("Helpers"));
+    List<String> tickets = TicketUsage.ticketsOf(request.getHeader("Helpers"));
     EndpointRun run = checker.recordArrival(requestId, tickets);
     if (impaired) {
       run.markImpaired();
     }
     openRuns.put(run, !tickets.isEmpty());
     HttpServerResponse response = request.response();
-    standin.whenHeadEnds(
+    standin.onHeadersEnd(
         response,
         () -> {
           if (response.getStatusCode() == PromiseChecker.SUCCESS) {
--- a/org.fawndrum.soak/src/org/fawndrum/soak/SoakSite.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/SoakSite.java
@@ -20,7 +20,7 @@
 import org.fawndrum.platform.standin.FixedPorts;
 import org.fawndrum.platform.standin.StandinSite;
 import org.fawndrum.platform.standin.StoreStandin;
-import org.fawndrum.platform.standin.TicketUses;
+import org.fawndrum.platform.standin.TicketUsage;
 import org.fawndrum.state.HostAddress;
 
 /**
@@ -101,7 +101,7 @@
   private final Path folder;
   private final FixedPorts ports = new FixedPorts();
   private final StoreStandin store;
-  private final TicketUses ticketUsage = new TicketUses();
+  private final TicketUsage ticketUsage = new TicketUsage();
   private final List<FaultProxy> storeLinks = new ArrayList<>();
   private final List<SoakEndpoint> endpoints = new ArrayList<>();
   private final List<HostProcess> hosts = new CopyOnWriteArrayList<>();
@@ -217,7 +217,7 @@
       case STORE_BUSY -> store.mode(begins ? StoreStandin.Mode.BUSY : StoreStandin.Mode.SERVING);
       case STORE_UNRESPONSIVE ->
           store.mode(begins ? StoreStandin.Mode.SILENT : StoreStandin.Mode.SERVING);
-      case STORE_EXPIRES_RECORDS -> store.forgetAll();
+      case STORE_EXPIRES_RECORDS -> store.expireAll();
       case STORE_LINK -> storeLinks.get(fault.target() % storeLinks.size()).mode(mode);
       case ENDPOINT_LINK -> endpoint.setLinkMode(mode);
       case ANSWERS_LOST -> endpoint.setLosesAnswers(begins);
@@ -274,7 +274,7 @@
       store.mode(StoreStandin.Mode.BUSY);
       return;
     }
-    store.goBackTo(copies.getFirst());
+    store.restoreFrom(copies.getFirst());
     copies.clear();
     copies.add(store.copy());
     publishConfiguration();
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/SoakEndpointTest.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/SoakEndpointTest.java
@@ -13,7 +13,7 @@
 import io.vertx.core.http.HttpMethod;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import org.fawndrum.platform.standin.TicketUses;
+import org.fawndrum.platform.standin.TicketUsage;
 import org.fawndrum.state.HostAddress;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -34,7 +34,7 @@
           vertx,
           vertx.createNetClient(),
           checker,
-          new TicketUses(),
+          new TicketUsage(),
           "engine-1",
           "pool",
           0,
--- a/org.fawndrum.standin/src/org/fawndrum/standin/AnswerText.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/AnswerText.java
@@ -12,16 +12,16 @@
   private AnswerText() {}
 
   /** Returns the token at a position of the answer to a prompt. */
-  public static String at(String prompt, long position) {
+  public static String tokenAt(String prompt, long position) {
     int hash = Math.floorMod(prompt.hashCode() * 31 + Long.hashCode(position) * 17, WORDS);
     return "w" + position + "." + hash + " ";
   }
 
   /** Returns the complete answer to a prompt, with the given number of tokens. */
-  public static String whole(String prompt, long tokens) {
+  public static String fullText(String prompt, long tokens) {
     StringBuilder text = new StringBuilder();
     for (long position = 0; position < tokens; position++) {
-      text.append(at(prompt, position));
+      text.append(tokenAt(prompt, position));
     }
     return text.toString();
   }
--- a/org.fawndrum.standin/src/org/fawndrum/standin/EngineModel.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/EngineModel.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.fawndrum.coordination.ExpectedFinishPlacement;
+import org.fawndrum.coordination.EarliestFirstTokenPlacement;
 import org.fawndrum.coordination.LoadReport;
 
 /**
@@ -162,7 +162,7 @@
       waiting.remove();
       usedTokens += stream.job.memory();
       running.add(stream);
-      long cached = cachedBlocks(stream.job.prefixes()) * ExpectedFinishPlacement.BLOCK_TOKENS;
+      long cached = cachedBlocks(stream.job.prefixes()) * EarliestFirstTokenPlacement.BLOCK_TOKENS;
       stream.prefillTokens = Math.max(1, stream.prefillTokens - cached);
       evict();
     }
@@ -226,7 +226,7 @@
 
   private void evict() {
     long capacityBlocks =
-        (settings.memoryTokens() - usedTokens) / ExpectedFinishPlacement.BLOCK_TOKENS;
+        (settings.memoryTokens() - usedTokens) / EarliestFirstTokenPlacement.BLOCK_TOKENS;
     List<Long> evicted = new ArrayList<>();
     Iterator<Long> oldest = cache.keySet().iterator();
     while (cache.size() > capacityBlocks && oldest.hasNext()) {
--- a/org.fawndrum.standin/src/org/fawndrum/standin/EngineStandin.java
+++ b/org.fawndrum.standin/src/org/fawndrum/standin/EngineStandin.java
@@ -167,7 +167,7 @@
       client.response().reset();
       return;
     }
-    String text = AnswerText.at(client.order().prompt(), output.at());
+    String text = AnswerText.tokenAt(client.order().prompt(), output.at());
     faults
         .apply(output.attempt(), output.at(), text)
         .forEach(event -> client.response().write(event(event)));
--- a/org.fawndrum/src/org/fawndrum/coordination/Action.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Action.java
@@ -2,8 +2,8 @@
 package org.fawndrum.coordination;
 
 import java.util.List;
-import org.fawndrum.coordination.crash.CrashNews;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.crash.CrashUpdate;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.state.Endpoint;
 
 /** An action that the decisions return for the surrounding layers to carry out. */
@@ -43,18 +43,18 @@
   /**
    * Sends an update about work at an endpoint to the other daemons.
    *
-   * @param news the update
+   * @param update the update
    * @param zone the endpoint's zone, whose daemons receive it first; empty for all daemons
    */
-  record Announce(EngineNews news, String zone) implements Action {}
+  record BroadcastWork(EngineUpdate update, String zone) implements Action {}
 
   /**
    * Sends an update about crashed endpoints and their requests to the other daemons.
    *
-   * @param news the update
+   * @param update the update
    */
-  record TellCrashes(CrashNews news) implements Action {}
+  record BroadcastCrashes(CrashUpdate update) implements Action {}
 
   /** Records a decision for the live watch, the log and the metrics. */
-  record Explain(Decision decision) implements Action {}
+  record RecordDecision(Decision decision) implements Action {}
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/Admission.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Admission.java
@@ -106,7 +106,7 @@
    * Returns when the first part of the answer is due, or the deadline if there is no such target.
    */
   private static long answerDueMs(OpenRequest request) {
-    long aimMs = request.facts.aims().firstTokenMs();
+    long aimMs = request.facts.latencyTargets().firstTokenMs();
     return aimMs > 0 ? request.facts.arrivedMs() + aimMs : request.deadlineMs;
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/AnswerAssembler.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/AnswerAssembler.java
@@ -29,9 +29,9 @@
     /** {@link AnswerAssembler#takeReady} has text to deliver. */
     READY,
     /** The whole answer was delivered or is ready to be. */
-    WHOLE,
+    COMPLETE,
     /** The attempt cannot complete the answer; resume from {@link AnswerAssembler#position}. */
-    CUT
+    TRUNCATED
   }
 
   private final List<String> ready = new ArrayList<>();
@@ -70,17 +70,17 @@
       return Result.NOTHING;
     }
     if (announcedCount >= 0 && at >= announcedCount) {
-      return Result.CUT;
+      return Result.TRUNCATED;
     }
     if (at > position) {
       outOfOrder.putIfAbsent(at, text);
-      return outOfOrder.size() > MAX_BUFFERED ? Result.CUT : Result.NOTHING;
+      return outOfOrder.size() > MAX_BUFFERED ? Result.TRUNCATED : Result.NOTHING;
     }
     deliver(text);
     while (!outOfOrder.isEmpty() && outOfOrder.firstKey() == position) {
       deliver(outOfOrder.pollFirstEntry().getValue());
     }
-    return position == announcedCount ? Result.WHOLE : Result.READY;
+    return position == announcedCount ? Result.COMPLETE : Result.READY;
   }
 
   private void deliver(String text) {
@@ -101,10 +101,10 @@
     boolean tooShort = count < position;
     boolean beyond = !outOfOrder.isEmpty() && outOfOrder.lastKey() >= count;
     if (tooShort || beyond || announcedCount >= 0 && announcedCount != count) {
-      return Result.CUT;
+      return Result.TRUNCATED;
     }
     announcedCount = count;
-    return position == count ? Result.WHOLE : Result.NOTHING;
+    return position == count ? Result.COMPLETE : Result.NOTHING;
   }
 
   /** Returns the text that can be delivered now, in order, and removes it. */
--- a/org.fawndrum/src/org/fawndrum/coordination/ArrivalHandler.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/ArrivalHandler.java
@@ -15,7 +15,7 @@
   private final SuspectedRequests suspectedRequests;
   private final Admission admission;
   private TableRevision table = TableRevision.EMPTY;
-  private StopWindow shutdownWindow = StopWindow.UNRESTRICTED;
+  private ShutdownWindow shutdownWindow = ShutdownWindow.UNRESTRICTED;
 
   /** The decision: the admitted request, or the refusal and its reason. */
   record Verdict(Optional<OpenRequest> admitted, Refusal refusal, Reason reason) {
@@ -48,7 +48,7 @@
   }
 
   /** Sets the window that limits which requests are admitted from now on. */
-  void setShutdownWindow(StopWindow window) {
+  void setShutdownWindow(ShutdownWindow window) {
     shutdownWindow = window;
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/AttemptEvent.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/AttemptEvent.java
@@ -10,7 +10,7 @@
   /**
    * The endpoint requested a backoff before anything was written to the network; nothing will be.
    */
-  ENDPOINT_RESTS,
+  ENDPOINT_BACKOFF,
   /** The endpoint reports that it did not run the request and will not. */
   REFUSED_BY_ENDPOINT,
   /** Part of the answer arrived. */
--- a/org.fawndrum/src/org/fawndrum/coordination/Decision.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Decision.java
@@ -22,7 +22,7 @@
  * @param cell the table cell that decided, if any
  * @param refusal the final answer if the request was refused
  * @param passedOver endpoints considered and not chosen, at most three
- * @param reading how the prompt is prefilled, for a placement or a first token
+ * @param prefill how the prompt is prefilled, for a placement or a first token
  */
 public record Decision(
     String requestId,
@@ -37,5 +37,5 @@
     int attempt,
     Optional<CellKey> cell,
     Optional<Refusal> refusal,
-    List<PassedOver> passedOver,
-    Optional<Reading> reading) {}
+    List<PassedOverEndpoint> passedOver,
+    Optional<Prefill> prefill) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/DecisionBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/DecisionBuilder.java
@@ -15,8 +15,8 @@
   private int attempt;
   private Optional<CellKey> cell = Optional.empty();
   private Optional<Refusal> refusal = Optional.empty();
-  private List<PassedOver> passedOver = List.of();
-  private Optional<Reading> prefill = Optional.empty();
+  private List<PassedOverEndpoint> passedOver = List.of();
+  private Optional<Prefill> prefill = Optional.empty();
 
   /** Creates a builder with the mandatory fields. */
   DecisionBuilder(RequestFacts facts, long nowMs, DecisionKind kind, Reason reason) {
@@ -47,13 +47,13 @@
   }
 
   /** Sets the endpoints considered and not chosen. */
-  DecisionBuilder passedOver(List<PassedOver> endpoints) {
+  DecisionBuilder passedOver(List<PassedOverEndpoint> endpoints) {
     passedOver = endpoints;
     return this;
   }
 
   /** Sets how the prompt is prefilled, if known. */
-  DecisionBuilder prefill(Optional<Reading> value) {
+  DecisionBuilder prefill(Optional<Prefill> value) {
     prefill = value;
     return this;
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/DecisionRecorder.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/DecisionRecorder.java
@@ -60,6 +60,6 @@
   }
 
   private void emit(DecisionBuilder decision) {
-    actions.add(new Action.Explain(decision.build()));
+    actions.add(new Action.RecordDecision(decision.build()));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/ExpectedFinishPlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EarliestFirstTokenPlacement.java
@@ -13,7 +13,7 @@
  * the backlog of every engine exceeds the horizon, so that this host controls the order between
  * caller groups. Confined to one thread.
  */
-public final class ExpectedFinishPlacement implements Placement {
+public final class EarliestFirstTokenPlacement implements Placement {
   /** Size of the prompt blocks that prefix hashes cover, in tokens. */
   public static final long BLOCK_TOKENS = 256;
 
@@ -39,7 +39,7 @@
   }
 
   /** Creates the placement. */
-  public ExpectedFinishPlacement(Settings settings) {
+  public EarliestFirstTokenPlacement(Settings settings) {
     this.settings = settings;
   }
 
@@ -104,15 +104,15 @@
     return state.endpoint().zone().equals(query.zone()) ? 0 : settings.otherZoneMs();
   }
 
-  private List<PassedOver> passedOver(
+  private List<PassedOverEndpoint> passedOver(
       Query query, EndpointState best, int start, int sampled, boolean model) {
-    List<PassedOver> passedOver = new ArrayList<>(MAX_PASSED_OVER);
+    List<PassedOverEndpoint> passedOver = new ArrayList<>(MAX_PASSED_OVER);
     for (int i = 0; i < sampled && passedOver.size() < MAX_PASSED_OVER; i++) {
       EndpointState state = query.candidates().get((start + i) % query.candidates().size());
       if (state != best) {
         long expectedMs =
             model ? backlogMs(state, query) + prefillMs(state, query) : plainMs(state, query);
-        passedOver.add(new PassedOver(state.endpoint().name(), expectedMs));
+        passedOver.add(new PassedOverEndpoint(state.endpoint().name(), expectedMs));
       }
     }
     return List.copyOf(passedOver);
--- a/org.fawndrum/src/org/fawndrum/coordination/EarnedRetryBudget.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EarnedRetryBudget.java
@@ -23,7 +23,7 @@
   }
 
   @Override
-  public void firstSend(RequestTarget target, long nowMs) {
+  public void recordFirstSend(RequestTarget target, long nowMs) {
     balance = Math.min(maxBalance, balance + earnedPerRequest);
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/EndpointRoster.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EndpointEligibility.java
@@ -19,7 +19,7 @@
  * may be unable to update the store. A restarted endpoint is a new incarnation and is eligible at
  * once. An older list never replaces a newer one. Confined to one thread.
  */
-public final class EndpointRoster {
+public final class EndpointEligibility {
   /**
    * Maximum number of draining incarnations kept that the list no longer contains. More than the
    * number replaced in a fleet of 10,000 endpoints while a copy of the store that may contain them
@@ -30,7 +30,7 @@
   private HostListing listing = HostListing.NONE;
 
   /** The draining incarnations, in the order in which they were first reported. */
-  private final Set<HostIdentity> leaving = new LinkedHashSet<>();
+  private final Set<HostIdentity> draining = new LinkedHashSet<>();
 
   /** Draining incarnations reported in an answer, which may have come from a later incarnation. */
   private final Set<HostIdentity> reportedInAnswer = new HashSet<>();
@@ -44,14 +44,14 @@
   private final Map<String, Long> newestIncarnations = new HashMap<>();
 
   /** Applies a version of the list. Returns whether it was newer than the current one. */
-  public boolean listed(HostListing newer) {
+  public boolean updateListing(HostListing newer) {
     if (newer.version() <= listing.version()) {
       return false;
     }
     listing = newer;
     newer.endpoints().forEach(endpoint -> recordIncarnation(endpoint.identity()));
-    leaving.addAll(newer.leaving());
-    reportedInAnswer.removeAll(newer.leaving());
+    draining.addAll(newer.drainingEndpoints());
+    reportedInAnswer.removeAll(newer.drainingEndpoints());
     pruneDraining();
     return true;
   }
@@ -60,8 +60,8 @@
    * Records that an incarnation is draining, as reported by itself or by a peer. Returns whether
    * this was unknown.
    */
-  public boolean saidLeaving(HostIdentity endpoint) {
-    return !isOver(endpoint) && leaving.add(endpoint);
+  public boolean markDraining(HostIdentity endpoint) {
+    return !isSuperseded(endpoint) && draining.add(endpoint);
   }
 
   /**
@@ -69,8 +69,8 @@
    * incarnation that sent it. The endpoint may have restarted unnoticed before; an incarnation
    * discovered later must be probed before use. Returns whether this was unknown.
    */
-  public boolean saidLeavingInAnswer(HostIdentity endpoint) {
-    boolean isNew = saidLeaving(endpoint);
+  public boolean markDrainingFromAnswer(HostIdentity endpoint) {
+    boolean isNew = markDraining(endpoint);
     if (isNew) {
       reportedInAnswer.add(endpoint);
     }
@@ -78,7 +78,7 @@
   }
 
   /** Returns the endpoints whose newest incarnation must be probed, each incarnation once. */
-  public List<Endpoint> takeUnclear() {
+  public List<Endpoint> takeUnverified() {
     if (notYetProbed.isEmpty()) {
       return List.of();
     }
@@ -95,7 +95,7 @@
    * Records that an incarnation was probed. If it is draining, this was reported before this call.
    * Returns whether it was waiting for the probe.
    */
-  public boolean asked(HostIdentity endpoint) {
+  public boolean markVerified(HostIdentity endpoint) {
     return unverified.remove(endpoint);
   }
 
@@ -103,7 +103,7 @@
    * Records that an incarnation answered, which means that earlier ones have terminated. Returns
    * whether it is a newer incarnation of a known endpoint.
    */
-  public boolean answered(HostIdentity endpoint) {
+  public boolean incarnationAnswered(HostIdentity endpoint) {
     return recordIncarnation(endpoint);
   }
 
@@ -111,12 +111,12 @@
    * Records a reported restart of a listed endpoint. Returns whether the incarnation is new.
    * Endpoints that are not listed are ignored, because only the list says which endpoints to use.
    */
-  public boolean startedAgain(HostIdentity endpoint) {
+  public boolean incarnationReported(HostIdentity endpoint) {
     return newestIncarnations.containsKey(endpoint.host()) && recordIncarnation(endpoint);
   }
 
   /** Whether a later incarnation of the endpoint is known. */
-  public boolean isOver(HostIdentity endpoint) {
+  public boolean isSuperseded(HostIdentity endpoint) {
     return endpoint.incarnation() < newest(endpoint);
   }
 
@@ -142,20 +142,20 @@
   }
 
   private void pruneDraining() {
-    leaving.removeIf(this::isOver);
-    if (leaving.size() <= MAX_UNLISTED) {
+    draining.removeIf(this::isSuperseded);
+    if (draining.size() <= MAX_UNLISTED) {
       // The usual case; the limit is exceeded only while a large fleet is being replaced.
       return;
     }
     Set<HostIdentity> listed = new HashSet<>();
     listing.endpoints().forEach(endpoint -> listed.add(endpoint.identity()));
     List<HostIdentity> unlisted =
-        leaving.stream().filter(endpoint -> !listed.contains(endpoint)).toList();
+        draining.stream().filter(endpoint -> !listed.contains(endpoint)).toList();
     unlisted.stream().limit(Math.max(0, unlisted.size() - MAX_UNLISTED)).forEach(this::forget);
   }
 
   private void forget(HostIdentity endpoint) {
-    leaving.remove(endpoint);
+    draining.remove(endpoint);
     reportedInAnswer.remove(endpoint);
   }
 
@@ -164,11 +164,11 @@
   }
 
   /** Returns the endpoints eligible for new work. */
-  public List<Endpoint> open() {
+  public List<Endpoint> eligible() {
     List<Endpoint> open = new ArrayList<>();
     for (Endpoint endpoint : listing.endpoints()) {
       Endpoint newest = atNewestIncarnation(endpoint);
-      if (!leaving.contains(newest.identity()) && !unverified.contains(newest.identity())) {
+      if (!draining.contains(newest.identity()) && !unverified.contains(newest.identity())) {
         open.add(newest);
       }
     }
@@ -177,18 +177,18 @@
 
   /** Returns a listed endpoint at its newest known incarnation, since the list may lag behind. */
   private Endpoint atNewestIncarnation(Endpoint listed) {
-    return listed.at(Math.max(listed.incarnation(), newest(listed.identity())));
+    return listed.withIncarnation(Math.max(listed.incarnation(), newest(listed.identity())));
   }
 
   /** Returns the number of listed endpoints known to be draining. */
-  public int listedLeaving() {
-    if (leaving.isEmpty()) {
+  public int listedDrainingCount() {
+    if (draining.isEmpty()) {
       return 0;
     }
     return (int)
         listing.endpoints().stream()
             .map(this::atNewestIncarnation)
-            .filter(endpoint -> leaving.contains(endpoint.identity()))
+            .filter(endpoint -> draining.contains(endpoint.identity()))
             .count();
   }
 
@@ -198,7 +198,7 @@
   }
 
   /** Returns the incarnations known to be draining. */
-  public Set<HostIdentity> leaving() {
-    return Set.copyOf(leaving);
+  public Set<HostIdentity> draining() {
+    return Set.copyOf(draining);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/EndpointRegistry.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EndpointRegistry.java
@@ -15,12 +15,12 @@
  * Confined to one thread.
  */
 final class EndpointRegistry {
-  private final EndpointRests requestedBackoffs;
+  private final RequestedBackoffs requestedBackoffs;
   private final Map<HostIdentity, EndpointState> states = new HashMap<>();
   private final Map<RequestTarget, List<EndpointState>> eligibleByTarget = new HashMap<>();
   private final Map<RequestTarget, Long> maxMemoryByTarget = new HashMap<>();
 
-  EndpointRegistry(EndpointRests requestedBackoffs) {
+  EndpointRegistry(RequestedBackoffs requestedBackoffs) {
     this.requestedBackoffs = requestedBackoffs;
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/EndpointState.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EndpointState.java
@@ -28,7 +28,7 @@
 
   private static final double MS_PER_SECOND = 1000.0;
 
-  private final EndpointRests requestedBackoffs;
+  private final RequestedBackoffs requestedBackoffs;
   private Endpoint endpoint;
   private LoadReport report;
   private long reportedAtMs;
@@ -56,7 +56,7 @@
     }
   }
 
-  EndpointState(Endpoint endpoint, int engines, EndpointRests requestedBackoffs) {
+  EndpointState(Endpoint endpoint, int engines, RequestedBackoffs requestedBackoffs) {
     this.endpoint = endpoint;
     this.requestedBackoffs = requestedBackoffs;
     this.prefixes = new CachedPrefixes(engines);
@@ -94,7 +94,7 @@
   long minPrefillMs(long promptTokens) {
     return endpoint
         .engine()
-        .map(profile -> (long) (profile.readMs(promptTokens) / EngineModelPlacement.MOST_ENGINES))
+        .map(profile -> (long) (profile.prefillMs(promptTokens) / EngineModelPlacement.MAX_ENGINES))
         .orElseGet(() -> (long) (promptTokens * MS_PER_SECOND / tokensPerSecond()));
   }
 
@@ -186,7 +186,7 @@
 
   /** Whether the endpoint asked this host to send nothing now. */
   public boolean inRequestedBackoff(long nowMs) {
-    return requestedBackoffs.lasts(endpoint.identity(), nowMs);
+    return requestedBackoffs.isActive(endpoint.identity(), nowMs);
   }
 
   /** Returns the end of the backoff requested by the endpoint, which may have passed. */
--- a/org.fawndrum/src/org/fawndrum/coordination/EngineWork.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EngineWork.java
@@ -12,11 +12,11 @@
 import java.util.function.Predicate;
 import org.fawndrum.coordination.engine.EngineJob;
 import org.fawndrum.coordination.engine.EngineLoad;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.state.EndpointKind;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 
 /**
  * Tracks the work at every endpoint: this host's own work, which it broadcasts, and the work
@@ -62,7 +62,7 @@
       boolean decodes,
       long nowMs) {
     HostIdentity endpoint = state.endpoint().identity();
-    RequestAims aims = facts.aims().after(nowMs - facts.arrivedMs());
+    LatencyTargets aims = facts.latencyTargets().remainingAfter(nowMs - facts.arrivedMs());
     return new EngineJob(
         nextId++, endpoint, facts.promptTokens(), memory, engines, decodes, aims, nowMs);
   }
@@ -71,7 +71,7 @@
     attempt.jobIds.add(job.id());
     ownJobs.put(job.id(), job);
     updateLoad(job, load -> load.add(job, nowMs));
-    broadcast(job, new EngineNews.Placed(job));
+    broadcast(job, new EngineUpdate.Placed(job));
   }
 
   /** Records that the prompt of an attempt has been prefilled. */
@@ -79,8 +79,8 @@
     for (long id : attempt.jobIds) {
       EngineJob job = ownJobs.get(id);
       if (job != null && prefilledJobs.add(id)) {
-        updateLoad(job, load -> load.read(id, nowMs));
-        broadcast(job, new EngineNews.Read(id));
+        updateLoad(job, load -> load.recordFirstToken(id, nowMs));
+        broadcast(job, new EngineUpdate.Prefilled(id));
       }
     }
   }
@@ -95,21 +95,21 @@
       EngineJob job = ownJobs.remove(id);
       prefilledJobs.remove(id);
       if (job != null) {
-        updateLoad(job, load -> load.ended(id, nowMs));
+        updateLoad(job, load -> load.remove(id, nowMs));
         boolean atFault =
             attempt.failedHelper == null
-                ? failed && job.writes()
+                ? failed && job.decodes()
                 : job.endpoint().equals(attempt.failedHelper);
-        broadcast(job, new EngineNews.Ended(id, atFault));
+        broadcast(job, new EngineUpdate.Completed(id, atFault));
       }
     }
   }
 
-  private void broadcast(EngineJob job, EngineNews update) {
+  private void broadcast(EngineJob job, EngineUpdate update) {
     EndpointState state = endpoints.state(job.endpoint());
     boolean engine = state != null && state.endpoint().kind() == EndpointKind.MODEL;
     actions.add(
-        new Action.Announce(update, engine ? state.endpoint().zone() : FleetReport.EVERYWHERE));
+        new Action.BroadcastWork(update, engine ? state.endpoint().zone() : FleetReport.ALL_ZONES));
   }
 
   /** Changes the load of a job's endpoint, if the endpoint is registered. */
@@ -132,7 +132,8 @@
     for (long id : attempt.jobIds) {
       EngineJob job = ownJobs.get(id);
       if (job != null && incarnations.test(job.endpoint())) {
-        boolean stillNeeded = job.writes() || job.memoryTokens() > 0 || !prefilledJobs.contains(id);
+        boolean stillNeeded =
+            job.decodes() || job.memoryTokens() > 0 || !prefilledJobs.contains(id);
         if (stillNeeded) {
           return true;
         }
@@ -142,19 +143,19 @@
   }
 
   /** Returns updates that describe all work of this host. */
-  List<EngineNews> allUpdates() {
-    List<EngineNews> updates = new ArrayList<>();
+  List<EngineUpdate> allUpdates() {
+    List<EngineUpdate> updates = new ArrayList<>();
     for (EngineJob job : ownJobs.values()) {
-      updates.add(new EngineNews.Placed(job));
+      updates.add(new EngineUpdate.Placed(job));
       if (prefilledJobs.contains(job.id())) {
-        updates.add(new EngineNews.Read(job.id()));
+        updates.add(new EngineUpdate.Prefilled(job.id()));
       }
     }
     return updates;
   }
 
   /** Applies updates of another daemon. If {@code all} is set they contain all of its work. */
-  void applyUpdate(HostIdentity from, List<EngineNews> updates, boolean all, long nowMs) {
+  void applyUpdate(HostIdentity from, List<EngineUpdate> updates, boolean all, long nowMs) {
     if (all) {
       replaceAll(from, updates, nowMs);
     } else {
@@ -163,9 +164,9 @@
   }
 
   /** Applies one update of another daemon. */
-  void applyUpdate(HostIdentity from, EngineNews update, long nowMs) {
+  void applyUpdate(HostIdentity from, EngineUpdate update, long nowMs) {
     Map<Long, EngineJob> jobs = jobsOf(from);
-    if (update instanceof EngineNews.Placed placed) {
+    if (update instanceof EngineUpdate.Placed placed) {
       EngineJob job = placed.job();
       EndpointState state = endpoints.state(job.endpoint());
       if (state != null) {
@@ -173,12 +174,12 @@
         jobs.putIfAbsent(job.id(), job);
         state.load().add(job, nowMs);
       }
-    } else if (update instanceof EngineNews.Read read) {
+    } else if (update instanceof EngineUpdate.Prefilled read) {
       EngineJob job = jobs.get(read.id());
       if (job != null) {
-        updateLoad(job, load -> load.read(job.id(), nowMs));
+        updateLoad(job, load -> load.recordFirstToken(job.id(), nowMs));
       }
-    } else if (update instanceof EngineNews.Ended ended) {
+    } else if (update instanceof EngineUpdate.Completed ended) {
       removeJob(jobs.remove(ended.id()), ended.failed(), nowMs);
     }
   }
@@ -200,17 +201,17 @@
     if (state == null) {
       return;
     }
-    state.load().ended(job.id(), nowMs);
+    state.load().remove(job.id(), nowMs);
     if (failed) {
       state.recordFailure(nowMs);
     }
   }
 
   /** Replaces all work of another daemon. Jobs that are missing in the updates have ended. */
-  void replaceAll(HostIdentity from, Collection<EngineNews> updates, long nowMs) {
+  void replaceAll(HostIdentity from, Collection<EngineUpdate> updates, long nowMs) {
     Set<Long> namedIds = new HashSet<>();
-    for (EngineNews update : updates) {
-      if (update instanceof EngineNews.Placed placed) {
+    for (EngineUpdate update : updates) {
+      if (update instanceof EngineUpdate.Placed placed) {
         namedIds.add(placed.job().id());
       }
     }
--- a/org.fawndrum/src/org/fawndrum/coordination/LimitParts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/LimitFractions.java
@@ -12,8 +12,8 @@
  * between zones, then between the entry hosts of each zone. A partitioned zone stays within its
  * fraction, and the fractions computed from one listing add up to 1. Demand is not considered.
  */
-public final class LimitParts {
-  private LimitParts() {}
+public final class LimitFractions {
+  private LimitFractions() {}
 
   /**
    * Returns a host's fraction of the limits.
@@ -21,7 +21,7 @@
    * @param self the host, which is counted even if the listing does not contain it yet
    * @param zone its availability zone
    */
-  public static double part(HostIdentity self, String zone, HostListing listing) {
+  public static double fraction(HostIdentity self, String zone, HostListing listing) {
     Set<String> zones = new HashSet<>(Set.of(zone));
     Set<String> hosts = new HashSet<>(Set.of(self.host()));
     for (EntryHost host : listing.entryHosts()) {
--- a/org.fawndrum/src/org/fawndrum/coordination/LogReplay.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/LogReplay.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.fawndrum.state.Publication;
-import org.fawndrum.state.ReplayPublication;
+import org.fawndrum.state.PublicationReplay;
 import org.fawndrum.state.TableRevision;
 
 /**
@@ -16,9 +16,9 @@
 public final class LogReplay {
   private TableRevision table = TableRevision.EMPTY;
   private final List<Entry> buffered = new ArrayList<>();
-  private long next;
+  private long nextOffset;
   private boolean inGap;
-  private long lastSnapshot = -1;
+  private long lastSnapshotPosition = -1;
 
   /** A record of the log, as it affects the table. */
   public sealed interface Entry {
@@ -41,8 +41,8 @@
   }
 
   /** Returns the offset of the next record to read. */
-  public long next() {
-    return next;
+  public long nextOffset() {
+    return nextOffset;
   }
 
   /** Whether records are missing and a snapshot is needed. */
@@ -51,32 +51,32 @@
   }
 
   /** Returns the number of records replayed since the newest snapshot in the log. */
-  public long sinceSnapshot() {
-    return table.position() - lastSnapshot;
+  public long recordsSinceSnapshot() {
+    return table.position() - lastSnapshotPosition;
   }
 
   /** Returns the position of the newest snapshot read from the log, or -1 if there is none. */
-  public long lastSnapshot() {
-    return lastSnapshot;
+  public long lastSnapshotPosition() {
+    return lastSnapshotPosition;
   }
 
   /** Records that the log begins at {@code first} and earlier records can no longer be read. */
-  public void logBegins(long first) {
-    if (first > next) {
+  public void logStartsAt(long first) {
+    if (first > nextOffset) {
       inGap = inGap || first > table.position() + 1;
-      next = first;
+      nextOffset = first;
       buffered.clear();
     }
   }
 
-  /** Replays the record at {@link #next}. Ignores records at other offsets. */
+  /** Replays the record at {@link #nextOffset}. Ignores records at other offsets. */
   public void record(Entry entry) {
-    if (entry.offset() != next) {
+    if (entry.offset() != nextOffset) {
       return;
     }
-    next++;
+    nextOffset++;
     if (entry instanceof Entry.Snapshot snapshot) {
-      lastSnapshot = Math.max(lastSnapshot, snapshot.table().position());
+      lastSnapshotPosition = Math.max(lastSnapshotPosition, snapshot.table().position());
     }
     if (!inGap) {
       apply(entry);
@@ -90,9 +90,9 @@
 
   private void apply(Entry entry) {
     if (entry instanceof Entry.Published published) {
-      table = new ReplayPublication(table, published.offset(), published.publication()).call();
+      table = new PublicationReplay(table, published.offset(), published.publication()).apply();
     } else if (entry.offset() > table.position()) {
-      table = table.at(entry.offset());
+      table = table.withPosition(entry.offset());
     }
   }
 
@@ -106,7 +106,7 @@
     if (snapshot.position() <= table.position()) {
       return Optional.empty();
     }
-    long firstBuffered = buffered.isEmpty() ? next : buffered.get(0).offset();
+    long firstBuffered = buffered.isEmpty() ? nextOffset : buffered.get(0).offset();
     if (inGap && snapshot.position() + 1 < firstBuffered) {
       return adoptBehindGap(snapshot);
     }
@@ -118,7 +118,7 @@
       }
     }
     buffered.clear();
-    next = Math.max(next, table.position() + 1);
+    nextOffset = Math.max(nextOffset, table.position() + 1);
     return Optional.of(table);
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/OpenRequest.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/OpenRequest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import org.fawndrum.coordination.crash.SuspectTurn;
+import org.fawndrum.coordination.crash.ExecutionLease;
 import org.fawndrum.state.Column;
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.Row;
@@ -38,14 +38,14 @@
   boolean firstTokenSeen;
 
   /** The execution lease of a suspected request that may run here; null for most requests. */
-  SuspectTurn lease;
+  ExecutionLease lease;
 
   /** One attempt with its endpoint and state. */
   static final class Attempt {
     final AttemptId id;
     final EndpointState endpoint;
     final List<Long> jobIds = new ArrayList<>(1);
-    final Optional<Reading> prefill;
+    final Optional<Prefill> prefill;
     final long sentMs;
 
     /** The helper engine that caused the refusal of the attempt; null if none did. */
--- a/org.fawndrum/src/org/fawndrum/coordination/PassedOver.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/PassedOverEndpoint.java
@@ -7,4 +7,4 @@
  * @param endpoint its name
  * @param expectedMs the expected time to the first token there, in milliseconds from the decision
  */
-public record PassedOver(String endpoint, long expectedMs) {}
+public record PassedOverEndpoint(String endpoint, long expectedMs) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/AwakeTimes.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/PauseDetector.java
@@ -6,7 +6,7 @@
  * arrived at any time during it: the grace period of a stop order starts when the order was sent,
  * not when it was handled. Thread-safe; times are those of the host's clock, in milliseconds.
  */
-public final class AwakeTimes {
+public final class PauseDetector {
   /** Maximum delay of a tick on a busy machine that does not count as a pause, in milliseconds. */
   private static final long MAX_TICK_DELAY_MS = 300;
 
@@ -27,12 +27,12 @@
    *
    * @param tickIntervalMs the interval between ticks, in milliseconds
    */
-  public AwakeTimes(long tickIntervalMs) {
+  public PauseDetector(long tickIntervalMs) {
     this.tickIntervalMs = tickIntervalMs;
   }
 
   /** Records a tick. */
-  public synchronized void looked(long nowMs) {
+  public synchronized void recordTick(long nowMs) {
     if (pausedSinceLastTick(nowMs)) {
       pauseStartMs = lastTickMs;
       pauseEndMs = nowMs;
@@ -45,7 +45,7 @@
   }
 
   /** Returns the earliest time at which an event handled now may have arrived. */
-  public synchronized long earliestMs(long nowMs) {
+  public synchronized long earliestArrivalMs(long nowMs) {
     if (pausedSinceLastTick(nowMs)) {
       return lastTickMs;
     }
--- a/org.fawndrum/src/org/fawndrum/coordination/Placement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Placement.java
@@ -56,16 +56,16 @@
   record Choice(
       EndpointState state,
       Reason reason,
-      List<PassedOver> passedOver,
+      List<PassedOverEndpoint> passedOver,
       List<Helper> helpers,
       OptionalLong expectedMs) {
     /** Creates a choice of one endpoint without helpers or an expected time. */
-    public Choice(EndpointState state, Reason reason, List<PassedOver> passedOver) {
+    public Choice(EndpointState state, Reason reason, List<PassedOverEndpoint> passedOver) {
       this(state, reason, passedOver, List.of(), OptionalLong.empty());
     }
 
     /** Returns how the prompt will be prefilled; empty if the expected time is unknown. */
-    Optional<Reading> prefill() {
+    Optional<Prefill> prefill() {
       if (expectedMs.isEmpty()) {
         return Optional.empty();
       }
@@ -73,7 +73,7 @@
           Stream.concat(Stream.of(state), helpers.stream().map(Helper::state))
               .map(state -> state.endpoint().name())
               .toList();
-      return Optional.of(new Reading(engines, expectedMs.getAsLong(), Reading.NOT_YET));
+      return Optional.of(new Prefill(engines, expectedMs.getAsLong(), Prefill.PENDING));
     }
 
     /** Returns the action that sends an attempt to the chosen endpoint and its helpers. */
--- a/org.fawndrum/src/org/fawndrum/coordination/Policies.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Policies.java
@@ -15,7 +15,7 @@
  * @param lengthClassifier classifies prompts by length
  * @param retries the retry budget
  * @param maxAttempts the maximum number of attempts for one request
- * @param receivesFromAll whether this host receives updates from all other daemons it knows
+ * @param allHostsReporting whether this host receives updates from all other daemons it knows
  * @param refuseEarly whether a request that cannot finish in time is refused before it is queued
  */
 public record Policies(
@@ -24,7 +24,7 @@
     PromptLengthClassifier lengthClassifier,
     RetryBudget retries,
     int maxAttempts,
-    BooleanSupplier receivesFromAll,
+    BooleanSupplier allHostsReporting,
     boolean refuseEarly) {
   private static final double SHORT_FRACTION = 0.5;
   private static final double RETRY_RATIO = 0.1;
@@ -35,7 +35,7 @@
   /** Returns the default policies without engine profiles. */
   public static Policies standard() {
     return of(
-        new ExpectedFinishPlacement(ExpectedFinishPlacement.Settings.DEFAULT),
+        new EarliestFirstTokenPlacement(EarliestFirstTokenPlacement.Settings.DEFAULT),
         new WeightedFairOrder(SHORT_CREDIT),
         true);
   }
@@ -72,7 +72,7 @@
   }
 
   /** Returns these policies for a host that may temporarily not receive from all other daemons. */
-  public Policies hearing(BooleanSupplier receivesFromAll) {
+  public Policies withAllHostsReporting(BooleanSupplier receivesFromAll) {
     return new Policies(
         placement, order, lengthClassifier, retries, maxAttempts, receivesFromAll, refuseEarly);
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/Reading.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Prefill.java
@@ -9,24 +9,24 @@
  *
  * @param engines the names of all participating engines; the one that generates the answer first
  * @param expectedMs the expected time from sending to the first token, in milliseconds
- * @param tookMs the actual time, in milliseconds; {@link #NOT_YET} before the first token
+ * @param tookMs the actual time, in milliseconds; {@link #PENDING} before the first token
  */
-public record Reading(List<String> engines, long expectedMs, long tookMs) {
+public record Prefill(List<String> engines, long expectedMs, long tookMs) {
   /** Value of {@link #tookMs()} before the first token has arrived. */
-  public static final long NOT_YET = -1;
+  public static final long PENDING = -1;
 
   /** Copies the list to keep the record immutable. */
-  public Reading {
+  public Prefill {
     engines = List.copyOf(engines);
   }
 
   /** Returns this record with the actual time to the first token. */
-  Reading withFirstToken(long afterMs) {
-    return new Reading(engines, expectedMs, afterMs);
+  Prefill withFirstToken(long afterMs) {
+    return new Prefill(engines, expectedMs, afterMs);
   }
 
   /** Returns the delay of the first token against the expected time; negative if it was early. */
-  public long laterMs() {
+  public long delayMs() {
     return tookMs - expectedMs;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/Ran.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Ran.java
@@ -13,7 +13,7 @@
   YES;
 
   /** Returns the value used on the wire. */
-  public String word() {
+  public String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/Refusal.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Refusal.java
@@ -28,7 +28,7 @@
   }
 
   /** Returns this refusal with another value for whether the request ran. */
-  public Refusal with(Ran other) {
+  public Refusal withRan(Ran other) {
     return new Refusal(kind, other, retryAfterMs, cell);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/RefusalRules.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RefusalRules.java
@@ -71,7 +71,7 @@
    */
   static void recordEndpointFailure(
       OpenRequest request, OpenRequest.Attempt attempt, AttemptEvent event, long nowMs) {
-    if (event == AttemptEvent.ENDPOINT_RESTS) {
+    if (event == AttemptEvent.ENDPOINT_BACKOFF) {
       return;
     }
     // An endpoint that refuses and requests a backoff has named its end, and has not failed.
--- a/org.fawndrum/src/org/fawndrum/coordination/RequestCoordinator.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RequestCoordinator.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.state.Endpoint;
 import org.fawndrum.state.HostIdentity;
@@ -47,18 +47,18 @@
    * @param policies the policies, owned by this coordinator
    */
   public RequestCoordinator(HostIdentity self, String zone, Policies policies) {
-    this(self, zone, policies, new EndpointRests());
+    this(self, zone, policies, new RequestedBackoffs());
   }
 
   /** Creates a coordinator that shares the endpoints' requested backoffs with the sending layer. */
   public RequestCoordinator(
-      HostIdentity self, String zone, Policies policies, EndpointRests backoffs) {
+      HostIdentity self, String zone, Policies policies, RequestedBackoffs backoffs) {
     this.self = self;
     this.registry = new EndpointRegistry(backoffs);
     this.policies = policies;
     this.queue = new WaitingRequests(policies.order(), policies.lengthClassifier());
     this.engineWork = new EngineWork(self, registry, pending);
-    this.suspected = new SuspectedRequests(self, registry, policies.receivesFromAll(), pending);
+    this.suspected = new SuspectedRequests(self, registry, policies.allHostsReporting(), pending);
     this.selector = new EndpointSelector(zone, registry, policies.placement(), suspected);
     this.dispatcher = new AttemptDispatcher(self, engineWork, rate, recorder, pending);
     this.failures = new AttemptFailures(engineWork, new RetryRule(policies), recorder, pending);
@@ -68,25 +68,25 @@
   }
 
   /** Replaces the table if the given one is newer. */
-  public List<Action> table(TableRevision newer, long nowMs) {
+  public List<Action> updateTable(TableRevision newer, long nowMs) {
     arrivals.updateTable(newer, nowMs);
     return flush(nowMs);
   }
 
   /** Applies this host's fraction of the table's limits, above 0 and at most 1. */
-  public List<Action> limitPart(double newFraction, long nowMs) {
+  public List<Action> updateLimitFraction(double newFraction, long nowMs) {
     usages.updateLimitFraction(newFraction, nowMs);
     return flush(nowMs);
   }
 
   /** Replaces the set of endpoints eligible for new work. */
-  public List<Action> endpoints(Collection<Endpoint> eligible, long nowMs) {
+  public List<Action> updateEndpoints(Collection<Endpoint> eligible, long nowMs) {
     registry.update(eligible);
-    return endpointRests(nowMs);
+    return backoffRequested(nowMs);
   }
 
   /** Called when an endpoint has asked this host to send nothing for a time. */
-  public List<Action> endpointRests(long nowMs) {
+  public List<Action> backoffRequested(long nowMs) {
     giveUpUnavailable(nowMs);
     return flush(nowMs);
   }
@@ -97,7 +97,7 @@
   }
 
   /** Ends attempts that depend on superseded incarnations, and retries where allowed. */
-  public List<Action> restarted(Predicate<HostIdentity> ended, long nowMs) {
+  public List<Action> endpointsRestarted(Predicate<HostIdentity> ended, long nowMs) {
     suspected.incarnationsSuperseded(ended, nowMs);
     for (OpenRequest request : requests.all()) {
       OpenRequest.Attempt last = request.lastAttempt();
@@ -112,42 +112,42 @@
   }
 
   /** Applies a load report of an endpoint. */
-  public List<Action> load(HostIdentity endpoint, LoadReport report, long nowMs) {
+  public List<Action> loadReported(HostIdentity endpoint, LoadReport report, long nowMs) {
     registry.ifPresent(endpoint, state -> state.loadReported(report, nowMs));
     return flush(nowMs);
   }
 
   /** Applies a load reported by a peer; a recent report of the endpoint itself takes precedence. */
-  public List<Action> loadTold(HostIdentity endpoint, LoadReport load, long nowMs) {
+  public List<Action> peerLoadReported(HostIdentity endpoint, LoadReport load, long nowMs) {
     registry.ifPresent(endpoint, state -> state.peerLoadReported(load, nowMs));
     return flush(nowMs);
   }
 
   /** Applies reports of other daemons about their work, then decides once for all of them. */
-  public List<Action> told(List<FleetReport> reports, long nowMs) {
-    reports.forEach(r -> engineWork.applyUpdate(r.from(), r.news(), r.whole(), nowMs));
+  public List<Action> peerWorkReported(List<FleetReport> reports, long nowMs) {
+    reports.forEach(r -> engineWork.applyUpdate(r.from(), r.updates(), r.complete(), nowMs));
     return flush(nowMs);
   }
 
   /** Records that another daemon is gone and removes its work. */
-  public List<Action> daemonGone(HostIdentity daemon, long nowMs) {
+  public List<Action> daemonRemoved(HostIdentity daemon, long nowMs) {
     engineWork.daemonRemoved(daemon, nowMs);
     return flush(nowMs);
   }
 
   /** Returns all work of this host at endpoints, for other daemons. */
-  public List<EngineNews> work() {
+  public List<EngineUpdate> ownWork() {
     return engineWork.allUpdates();
   }
 
   /** Limits admission to the given window. Admitted requests continue. */
-  public void stop(StopWindow window) {
+  public void beginShutdown(ShutdownWindow window) {
     arrivals.setShutdownWindow(window);
   }
 
   /** Refuses all open requests with an accurate final answer, because the host shuts down now. */
   public List<Action> giveUpAll(long nowMs) {
-    arrivals.setShutdownWindow(StopWindow.CLOSED);
+    arrivals.setShutdownWindow(ShutdownWindow.CLOSED);
     for (OpenRequest request : requests.all()) {
       requests.giveUp(request, RefusalRules.hostShutdown(request), Reason.DRAINING, nowMs);
     }
@@ -155,7 +155,7 @@
   }
 
   /** Returns the number of requests without a final answer. */
-  public int open() {
+  public int openCount() {
     return requests.size();
   }
 
@@ -165,7 +165,7 @@
   }
 
   /** Returns the number of requests waiting for an endpoint. */
-  public int waiting() {
+  public int waitingCount() {
     return queue.size();
   }
 
@@ -186,7 +186,7 @@
 
   private void admit(OpenRequest request, long nowMs) {
     requests.add(request);
-    policies.retries().firstSend(request.facts.target(), nowMs);
+    policies.retries().recordFirstSend(request.facts.target(), nowMs);
     recorder.admitted(request.facts, nowMs);
     enqueue(request, nowMs);
     long earlyMs = policies.refuseEarly() ? admission.shortestServiceMs(request.facts) : 0;
@@ -224,7 +224,7 @@
   }
 
   /** Records that the endpoint of an attempt terminated. Called before the attempt's own event. */
-  public List<Action> endpointEnded(AttemptId id, long nowMs) {
+  public List<Action> endpointTerminated(AttemptId id, long nowMs) {
     OpenRequest request = requests.get(id.requestId());
     OpenRequest.Attempt attempt = ownAttempt(request, id);
     if (attempt != null) {
@@ -234,13 +234,13 @@
   }
 
   /** Applies crash updates or an operator's order to the suspected requests. */
-  public List<Action> suspects(Consumer<SuspectedRequests> step, long nowMs) {
+  public List<Action> suspectedRequests(Consumer<SuspectedRequests> step, long nowMs) {
     step.accept(suspected);
     return flush(nowMs);
   }
 
   /** Returns the suspected requests. */
-  public SuspectedRequests suspects() {
+  public SuspectedRequests suspectedRequests() {
     return suspected;
   }
 
@@ -249,7 +249,7 @@
   }
 
   /** Handles an event of an attempt. Events of completed requests have no effect. */
-  public List<Action> attempt(AttemptId id, AttemptEvent event, long nowMs) {
+  public List<Action> attemptEvent(AttemptId id, AttemptEvent event, long nowMs) {
     OpenRequest request = requests.get(id.requestId());
     OpenRequest.Attempt attempt = ownAttempt(request, id);
     if (attempt == null || event == AttemptEvent.STALLED && attempt.state.ended()) {
--- a/org.fawndrum/src/org/fawndrum/coordination/RequestFacts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RequestFacts.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.fawndrum.coordination.crash.RequestContent;
 import org.fawndrum.state.CallerGroup;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 
 /**
  * The properties of a request that decisions are based on.
@@ -18,7 +18,7 @@
  * @param callerTimeoutMs the caller's own timeout in milliseconds; 0 if it has none
  * @param repeatable whether it may be sent again after an unknown outcome
  * @param prefixes hashes of the prompt's leading blocks, shortest first, for cache affinity
- * @param aims the latency targets and the attempt limit, if its route has any
+ * @param latencyTargets the latency targets and the attempt limit, if its route has any
  * @param content the content, for the comparison with other requests
  */
 public record RequestFacts(
@@ -31,7 +31,7 @@
     long callerTimeoutMs,
     boolean repeatable,
     List<Long> prefixes,
-    RequestAims aims,
+    LatencyTargets latencyTargets,
     RequestContent content) {
   /** Copies the prefixes to keep the record immutable. */
   public RequestFacts {
@@ -49,7 +49,7 @@
       long callerTimeoutMs,
       boolean repeatable,
       List<Long> prefixes,
-      RequestAims aims) {
+      LatencyTargets latencyTargets) {
     this(
         requestId,
         group,
@@ -60,7 +60,7 @@
         callerTimeoutMs,
         repeatable,
         prefixes,
-        aims,
+        latencyTargets,
         RequestContent.UNKNOWN);
   }
 
@@ -85,7 +85,7 @@
         callerTimeoutMs,
         repeatable,
         prefixes,
-        RequestAims.NONE);
+        LatencyTargets.NONE);
   }
 
   /** Returns the work of the request in tokens: those to prefill and those to generate. */
--- a/org.fawndrum/src/org/fawndrum/coordination/EndpointRests.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RequestedBackoffs.java
@@ -20,7 +20,7 @@
  * Thread-safe: it is checked when a request is placed, and again when it is sent. Times are those
  * of the host's clock, in milliseconds.
  */
-public final class EndpointRests {
+public final class RequestedBackoffs {
   private static final long NONE = Long.MIN_VALUE;
 
   /**
@@ -59,7 +59,7 @@
   }
 
   /** Records the backoff requested by an endpoint, given with its newest known incarnation. */
-  public void asked(HostIdentity endpoint, long durationMs, long nowMs) {
+  public void requested(HostIdentity endpoint, long durationMs, long nowMs) {
     backoffs.values().removeIf(backoff -> backoff.untilMs() <= nowMs);
     Backoff backoff = new Backoff(endpoint.incarnation(), nowMs, nowMs + durationMs);
     backoffs.merge(endpoint.host(), backoff, Backoff::mergedWith);
@@ -85,12 +85,12 @@
   }
 
   /** Whether an endpoint asked this host to send nothing now. */
-  public boolean lasts(HostIdentity endpoint, long nowMs) {
+  public boolean isActive(HostIdentity endpoint, long nowMs) {
     return nowMs < endMs(endpoint);
   }
 
   /** Returns the number of endpoints in backoff. */
-  public long count(long nowMs) {
+  public long activeCount(long nowMs) {
     return backoffs.values().stream().filter(backoff -> nowMs < backoff.untilMs()).count();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/RetryRule.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RetryRule.java
@@ -18,7 +18,7 @@
     if (!RefusalRules.mayRetry(request, attempt)) {
       return Reason.NOT_REPEATABLE;
     }
-    if (event == AttemptEvent.CONNECT_FAILED || event == AttemptEvent.ENDPOINT_RESTS) {
+    if (event == AttemptEvent.CONNECT_FAILED || event == AttemptEvent.ENDPOINT_BACKOFF) {
       // Nothing reached an endpoint, so only the limit on unsent attempts applies.
       request.unsentAttempts++;
       return request.unsentAttempts < MAX_UNSENT_ATTEMPTS ? null : Reason.RETRY_BUDGET;
@@ -30,7 +30,7 @@
 
   /** Whether a request was sent to as many endpoints as allowed. */
   private boolean attemptsExhausted(OpenRequest request) {
-    int routeLimit = request.facts.aims().mostAttempts();
+    int routeLimit = request.facts.latencyTargets().maxAttempts();
     int limit = routeLimit > 0 ? routeLimit : policies.maxAttempts();
     return request.attempts.size() - request.unsentAttempts >= limit;
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/StopWindow.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/ShutdownWindow.java
@@ -7,14 +7,14 @@
  * grace period. After that it accepts only requests whose deadline is before the host's own
  * shutdown. Immutable; does not read a clock.
  */
-public final class StopWindow {
+public final class ShutdownWindow {
   /** The window of a host without a stop order, which accepts everything. */
-  public static final StopWindow UNRESTRICTED =
-      new StopWindow(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
+  public static final ShutdownWindow UNRESTRICTED =
+      new ShutdownWindow(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
 
   /** The window of a host that accepts nothing any more. */
-  public static final StopWindow CLOSED =
-      new StopWindow(Long.MIN_VALUE, Long.MIN_VALUE, Long.MIN_VALUE, Long.MIN_VALUE);
+  public static final ShutdownWindow CLOSED =
+      new ShutdownWindow(Long.MIN_VALUE, Long.MIN_VALUE, Long.MIN_VALUE, Long.MIN_VALUE);
 
   /**
    * How long everything is accepted after the stop order, in milliseconds. Operators tolerate the
@@ -47,15 +47,15 @@
   private static final long PROTECTED_TAIL_DIVISOR = 6;
 
   private final long acceptAllUntilMs;
-  private final long endMs;
+  private final long shutdownMs;
   private final long earliestShutdownMs;
-  private final long goneMs;
+  private final long exitMs;
 
-  private StopWindow(long acceptAllUntilMs, long endMs, long earliestShutdownMs, long goneMs) {
+  private ShutdownWindow(long acceptAllUntilMs, long endMs, long earliestShutdownMs, long goneMs) {
     this.acceptAllUntilMs = acceptAllUntilMs;
-    this.endMs = endMs;
+    this.shutdownMs = endMs;
     this.earliestShutdownMs = earliestShutdownMs;
-    this.goneMs = goneMs;
+    this.exitMs = goneMs;
   }
 
   /**
@@ -64,13 +64,13 @@
    * @param orderedMs when the order arrived, in milliseconds of the host's clock
    * @param graceMs the time from the order to the forced kill, in milliseconds
    */
-  public static StopWindow from(long orderedMs, long graceMs) {
+  public static ShutdownWindow from(long orderedMs, long graceMs) {
     long shutdownAfterMs = Math.max(0, graceMs - SHUTDOWN_BEFORE_KILL_MS);
     long acceptAllMs =
         Math.min(shutdownAfterMs, Math.min(ACCEPT_ALL_MS, (long) (graceMs * ACCEPT_ALL_FRACTION)));
     long goneMs = Math.max(0, graceMs - EXIT_BEFORE_KILL_MS);
     long earliestMs = Math.min(shutdownAfterMs, graceMs - graceMs / PROTECTED_TAIL_DIVISOR);
-    return new StopWindow(
+    return new ShutdownWindow(
         orderedMs + acceptAllMs,
         orderedMs + shutdownAfterMs,
         orderedMs + earliestMs,
@@ -87,7 +87,7 @@
    * @param handledMs when it was handled
    * @param graceMs the time from the order to the forced kill, in milliseconds
    */
-  public static StopWindow from(long earliestMs, long handledMs, long graceMs) {
+  public static ShutdownWindow from(long earliestMs, long handledMs, long graceMs) {
     return from(Math.max(earliestMs, handledMs - graceMs / 2), graceMs);
   }
 
@@ -98,15 +98,15 @@
    * @param deadlineMs when it has its final answer at the latest, by the same clock
    */
   public boolean accepts(long nowMs, long deadlineMs) {
-    return nowMs < acceptAllUntilMs || deadlineMs < endMs;
+    return nowMs < acceptAllUntilMs || deadlineMs < shutdownMs;
   }
 
   /**
    * Returns the latest time at which the host starts its own shutdown, in milliseconds of its
    * clock.
    */
-  public long endMs() {
-    return endMs;
+  public long shutdownMs() {
+    return shutdownMs;
   }
 
   /**
@@ -115,12 +115,12 @@
    *
    * @param lateMs the maximum delay during the shutdown so far, in milliseconds
    */
-  public long endMs(long lateMs) {
-    return Math.max(earliestShutdownMs, endMs - lateMs);
+  public long shutdownMs(long lateMs) {
+    return Math.max(earliestShutdownMs, shutdownMs - lateMs);
   }
 
   /** Returns when the process exits at the latest, in milliseconds of the host's clock. */
-  public long goneMs() {
-    return goneMs;
+  public long exitMs() {
+    return exitMs;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/SnapshotTurn.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/SnapshotSchedule.java
@@ -8,7 +8,7 @@
  * by name; if the first does not append one, the next does after a delay. Two hosts with different
  * lists may both append a snapshot, which only costs space.
  */
-public final class SnapshotTurn {
+public final class SnapshotSchedule {
   /** Number of records after which a snapshot is due. */
   public static final long RECORDS_PER_SNAPSHOT = 500;
 
@@ -21,7 +21,7 @@
   /** Additional age for each rank, in milliseconds. */
   public static final long AGE_PER_RANK_MS = 30_000;
 
-  private SnapshotTurn() {}
+  private SnapshotSchedule() {}
 
   /**
    * Returns a host's rank, 0 for the first.
@@ -37,7 +37,7 @@
   }
 
   /** Whether a host of the given rank should append a snapshot now. */
-  public static boolean due(long recordsSince, long ageMs, int rank) {
+  public static boolean isDue(long recordsSince, long ageMs, int rank) {
     boolean hasMany = recordsSince >= RECORDS_PER_SNAPSHOT + rank * RECORDS_PER_RANK;
     boolean isOld = recordsSince > 0 && ageMs >= MAX_AGE_MS + rank * AGE_PER_RANK_MS;
     return hasMany || isOld;
--- a/org.fawndrum/src/org/fawndrum/coordination/SuspectedRequests.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/SuspectedRequests.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.fawndrum.coordination.crash.CrashFinding;
-import org.fawndrum.coordination.crash.CrashLedger;
-import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.crash.CrashRegistry;
+import org.fawndrum.coordination.crash.CrashUpdate;
 import org.fawndrum.coordination.crash.CrashVerdict;
 import org.fawndrum.coordination.crash.EndpointCrash;
-import org.fawndrum.coordination.crash.RefusedRequest;
+import org.fawndrum.coordination.crash.RejectedRequest;
 import org.fawndrum.coordination.crash.RequestContent;
 import org.fawndrum.state.HostIdentity;
 
@@ -24,7 +24,7 @@
   /** Interval at which held requests are checked, in milliseconds. */
   private static final long RECHECK_INTERVAL_MS = 20;
 
-  private final CrashLedger crashLedger;
+  private final CrashRegistry crashLedger;
   private final List<OpenRequest> heldRequests = new ArrayList<>();
   private final LostAttempts lostAttempts = new LostAttempts();
   private final EndpointRegistry endpoints;
@@ -38,7 +38,7 @@
       EndpointRegistry endpoints,
       BooleanSupplier receivesFromAll,
       List<Action> actions) {
-    this.crashLedger = new CrashLedger(self);
+    this.crashLedger = new CrashRegistry(self);
     this.endpoints = endpoints;
     this.receivesFromAll = receivesFromAll;
     this.actions = actions;
@@ -46,7 +46,7 @@
 
   /** Whether a request is rejected. */
   boolean rejects(RequestFacts facts, long nowMs) {
-    return crashLedger.verdict(facts.content(), nowMs) == CrashVerdict.REFUSED;
+    return crashLedger.verdict(facts.content(), nowMs) == CrashVerdict.REJECTED;
   }
 
   /** Holds a request if it must not be sent before more is known. Returns whether it is held. */
@@ -61,8 +61,8 @@
    */
   boolean recheckBeforeDispatch(OpenRequest request, long nowMs) {
     RequestContent content = request.facts.content();
-    boolean hasLease = request.lease != null && crashLedger.lasts(request.lease, nowMs);
-    return !hasLease && crashLedger.needsTurn(content) && holdIfRequired(request, nowMs);
+    boolean hasLease = request.lease != null && crashLedger.isLeaseValid(request.lease, nowMs);
+    return !hasLease && crashLedger.needsLease(content) && holdIfRequired(request, nowMs);
   }
 
   private boolean hold(OpenRequest request, long nowMs) {
@@ -76,11 +76,11 @@
   private boolean mayProceed(OpenRequest request, long nowMs) {
     RequestContent content = request.facts.content();
     CrashVerdict verdict = crashLedger.verdict(content, nowMs);
-    if (verdict != CrashVerdict.FREE || !crashLedger.needsTurn(content)) {
-      return verdict != CrashVerdict.HELD;
+    if (verdict != CrashVerdict.ALLOWED || !crashLedger.needsLease(content)) {
+      return verdict != CrashVerdict.DELAYED;
     }
-    publish(crashLedger.askTurn(content, nowMs));
-    request.lease = crashLedger.beginTurn(content, nowMs).orElse(null);
+    publish(crashLedger.requestLease(content, nowMs));
+    request.lease = crashLedger.acquireLease(content, nowMs).orElse(null);
     return request.lease != null;
   }
 
@@ -103,9 +103,9 @@
     boolean sentUnderLease = last != null && last.sentMs >= request.lease.atMs();
     boolean ranUnanswered = sentUnderLease && !last.terminationSeen && last.mayHaveRunUnanswered();
     if (ranUnanswered) {
-      publish(crashLedger.spendTurn(request.lease));
+      publish(crashLedger.recordInconclusiveRun(request.lease));
     } else {
-      crashLedger.endTurn(request.lease);
+      crashLedger.releaseLease(request.lease);
     }
     request.lease = null;
   }
@@ -172,7 +172,7 @@
         .ifPresent(
             fingerprint ->
                 publish(
-                    crashLedger.startIsOver(
+                    crashLedger.recordIncarnationEnd(
                         attempt.endpoint(), fingerprint, attempt.sentMs(), attempt.atMs())));
   }
 
@@ -189,18 +189,18 @@
         .ifPresent(
             fingerprint ->
                 publish(
-                    crashLedger.crashed(
+                    crashLedger.recordCrash(
                         attempt.endpoint(), fingerprint, attempt.sentMs(), attempt.atMs())));
   }
 
   /** Records that an endpoint completed a request and survived. */
   void requestServed(OpenRequest request, long nowMs) {
-    publish(crashLedger.served(request.facts.content(), nowMs));
+    publish(crashLedger.recordAnswer(request.facts.content(), nowMs));
   }
 
   /** Applies an update from another host. */
-  public void heard(CrashNews update, long nowMs) {
-    publish(crashLedger.heard(update, nowMs));
+  public void applyUpdate(CrashUpdate update, long nowMs) {
+    publish(crashLedger.merge(update, nowMs));
     for (EndpointCrash crash : update.crashes()) {
       lostAttempts.takeTerminatedWith(crash.endpoint(), crash.atMs()).forEach(this::recordCrash);
     }
@@ -211,12 +211,12 @@
    * refused.
    */
   void decide(long nowMs, Consumer<OpenRequest> released) {
-    if (nowMs >= crashLedger.dueMs()) {
-      crashLedger.hearsAll(receivesFromAll.getAsBoolean());
+    if (nowMs >= crashLedger.nextDecisionMs()) {
+      crashLedger.allHostsReporting(receivesFromAll.getAsBoolean());
     }
-    List<RefusedRequest> update = crashLedger.decide(nowMs);
+    List<RejectedRequest> update = crashLedger.decide(nowMs);
     if (!update.isEmpty()) {
-      publish(CrashNews.ofRefused(update));
+      publish(CrashUpdate.ofRejected(update));
     }
     release(nowMs, released);
   }
@@ -231,10 +231,10 @@
     nextRecheckMs = heldRequests.isEmpty() ? Long.MAX_VALUE : nowMs + RECHECK_INTERVAL_MS;
   }
 
-  private void publish(CrashNews update) {
-    hasNewRejections |= !update.refused().isEmpty();
+  private void publish(CrashUpdate update) {
+    hasNewRejections |= !update.rejected().isEmpty();
     if (!update.isEmpty()) {
-      actions.add(new Action.TellCrashes(update));
+      actions.add(new Action.BroadcastCrashes(update));
     }
   }
 
@@ -255,30 +255,30 @@
 
   /** Returns when {@link #decide} is next due, or {@link Long#MAX_VALUE} if it is not. */
   long dueMs() {
-    return Math.min(nextRecheckMs, crashLedger.dueMs());
+    return Math.min(nextRecheckMs, crashLedger.nextDecisionMs());
   }
 
   /** Returns a digest of the evidence, equal on hosts that know the same. */
   public long summary() {
-    return crashLedger.summary();
+    return crashLedger.digest();
   }
 
   /** Clears the rejection of a request, given by the fingerprint used in logs and by operators. */
-  public void letGo(String fingerprint, long nowMs) {
-    for (RefusedRequest rejected : crashLedger.refused()) {
+  public void clearRejection(String fingerprint, long nowMs) {
+    for (RejectedRequest rejected : crashLedger.rejected()) {
       if (rejected.request().toString().equals(fingerprint)) {
-        publish(crashLedger.letGo(rejected.request(), nowMs));
+        publish(crashLedger.clearRejection(rejected.request(), nowMs));
       }
     }
   }
 
   /** Returns the requests that are rejected now. */
-  public List<RefusedRequest> refused() {
-    return crashLedger.refused();
+  public List<RejectedRequest> rejected() {
+    return crashLedger.rejected();
   }
 
   /** Returns all evidence of this host, for a host that may know less. */
-  public CrashNews all() {
-    return crashLedger.all();
+  public CrashUpdate allUpdates() {
+    return crashLedger.fullUpdate();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/SweepRule.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/SweepRule.java
@@ -21,7 +21,7 @@
   private final Map<HostIdentity, Long> absentSinceMs = new HashMap<>();
 
   /** Liveness of daemons. */
-  public interface Known {
+  public interface OwnerStatus {
     /** Whether a newer incarnation of the owner's host is known. */
     boolean replaced(HostIdentity owner);
 
@@ -36,7 +36,7 @@
    * Returns the owners whose streams may be released. Must be called with all owners that engines
    * report, since the absence times of others are dropped.
    */
-  public List<HostIdentity> sweepable(Set<HostIdentity> owners, Known status, long nowMs) {
+  public List<HostIdentity> sweepable(Set<HostIdentity> owners, OwnerStatus status, long nowMs) {
     absentSinceMs.keySet().retainAll(owners);
     List<HostIdentity> sweepable = new ArrayList<>();
     for (HostIdentity owner : new HashSet<>(owners)) {
--- a/org.fawndrum/src/org/fawndrum/coordination/WindowRetryBudget.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/WindowRetryBudget.java
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public void firstSend(RequestTarget target, long nowMs) {
+  public void recordFirstSend(RequestTarget target, long nowMs) {
     sends(target, nowMs).firstSends.addLast(nowMs);
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/ServedRequest.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/AnsweredRequest.java
@@ -7,4 +7,4 @@
  * @param request the request
  * @param atMs when its answer was complete, in milliseconds of this host's clock
  */
-public record ServedRequest(RequestFingerprint request, long atMs) {}
+public record AnsweredRequest(RequestFingerprint request, long atMs) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashHistory.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashHistory.java
@@ -70,17 +70,18 @@
         .forEach(this::remove);
     EndpointCrash existing = findSame(crash);
     if (existing == null) {
-      EndpointCrash bounded = bounded(crash, crash.under());
+      EndpointCrash bounded = bounded(crash, crash.requests());
       put(bounded);
       if (crashes.size() > MAX_CRASHES) {
         remove(evictionCandidate(suspects, nowMs));
       }
       return bounded;
     }
-    Set<RequestFingerprint> under = new HashSet<>(existing.under());
-    under.addAll(crash.under());
+    Set<RequestFingerprint> under = new HashSet<>(existing.requests());
+    under.addAll(crash.requests());
     EndpointCrash merged = bounded(existing.mergedWith(crash, under), under);
-    if (merged.endpoint().equals(existing.endpoint()) && merged.under().equals(existing.under())) {
+    if (merged.endpoint().equals(existing.endpoint())
+        && merged.requests().equals(existing.requests())) {
       return null;
     }
     remove(existing);
@@ -96,20 +97,20 @@
   private EndpointCrash evictionCandidate(Predicate<RequestFingerprint> suspects, long nowMs) {
     return crashes.stream()
         .filter(crash -> nowMs - crash.atMs() > REPEAT_WINDOW_MS)
-        .filter(crash -> crash.under().stream().noneMatch(suspects))
+        .filter(crash -> crash.requests().stream().noneMatch(suspects))
         .findFirst()
         .orElse(crashes.peekFirst());
   }
 
   private void put(EndpointCrash crash) {
     crashes.addLast(crash);
-    crash.under().forEach(request -> crashCount.merge(request, 1, Integer::sum));
+    crash.requests().forEach(request -> crashCount.merge(request, 1, Integer::sum));
   }
 
   private void remove(EndpointCrash crash) {
     crashes.remove(crash);
     crash
-        .under()
+        .requests()
         .forEach(request -> crashCount.computeIfPresent(request, (key, n) -> n > 1 ? n - 1 : null));
   }
 
@@ -145,8 +146,8 @@
   /** Removes a request from all crashes up to a time, because it did not cause them. */
   void removeRequest(RequestFingerprint request, long untilMs) {
     for (EndpointCrash crash : List.copyOf(crashes)) {
-      if (crash.atMs() <= untilMs && crash.under().contains(request)) {
-        Set<RequestFingerprint> others = new HashSet<>(crash.under());
+      if (crash.atMs() <= untilMs && crash.requests().contains(request)) {
+        Set<RequestFingerprint> others = new HashSet<>(crash.requests());
         others.remove(request);
         remove(crash);
         put(crash.withRequests(others));
@@ -156,7 +157,7 @@
 
   /** Returns the crashes of endpoints that had this request. */
   List<EndpointCrash> crashesWith(RequestFingerprint request) {
-    return crashes.stream().filter(crash -> crash.under().contains(request)).toList();
+    return crashes.stream().filter(crash -> crash.requests().contains(request)).toList();
   }
 
   /** Returns the crashes that match a predicate. */
@@ -185,7 +186,7 @@
             other ->
                 Math.abs(other.atMs() - crash.atMs()) <= BURST_MS
                     && !other.endpoint().equals(crash.endpoint())
-                    && !other.under().contains(request)
+                    && !other.requests().contains(request)
                     && !explained.test(other));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashLedger.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashRegistry.java
@@ -20,10 +20,10 @@
  * else explains the crashes ({@link CrashRules}). A crash counts only once the reports of other
  * hosts about it have had time to arrive.
  *
- * <p>Hosts exchange their evidence; {@link #heard} accepts it in any order and any number of times.
+ * <p>Hosts exchange their evidence; {@link #merge} accepts it in any order and any number of times.
  * Confined to one thread; times are those of the host's clock, in milliseconds.
  */
-public final class CrashLedger {
+public final class CrashRegistry {
   /** How long a request stays rejected after its last arrival. */
   static final long REJECTION_EXPIRY_MS = 3_600_000;
 
@@ -31,26 +31,26 @@
   static final int MAX_REJECTED = 256;
 
   private final CrashHistory history = new CrashHistory();
-  private final Map<RequestFingerprint, Rejection> refused = new LinkedHashMap<>();
+  private final Map<RequestFingerprint, Rejection> rejected = new LinkedHashMap<>();
   private final Map<RequestFingerprint, Long> lastAnsweredMs = new LinkedHashMap<>();
   private final Map<RequestFingerprint, Long> clearedMs = new LinkedHashMap<>();
-  private final CrashRules rules = new CrashRules(history, refused, lastAnsweredMs);
+  private final CrashRules rules = new CrashRules(history, rejected, lastAnsweredMs);
   private final ExecutionLeases leases;
   private final InconclusiveRunTable inconclusiveRuns = new InconclusiveRunTable();
   private Set<RequestFingerprint> suspects = Set.of();
   private Set<Long> suspectLengths = Set.of();
-  private long summary;
+  private long digest;
   private boolean digestStale;
-  private List<RefusedRequest> rejectedList = List.of();
+  private List<RejectedRequest> rejectedList = List.of();
   private final FindingBuffer findings = new FindingBuffer();
-  private long dueMs = Long.MAX_VALUE;
+  private long nextDecisionMs = Long.MAX_VALUE;
 
   /** A rejected request and the time of its last arrival. */
   private static final class Rejection {
-    final RefusedRequest record;
+    final RejectedRequest record;
     long lastArrivalMs;
 
-    Rejection(RefusedRequest record, long lastArrivalMs) {
+    Rejection(RejectedRequest record, long lastArrivalMs) {
       this.record = record;
       this.lastArrivalMs = lastArrivalMs;
     }
@@ -61,12 +61,12 @@
    *
    * @param self the host that keeps it
    */
-  public CrashLedger(HostIdentity self) {
+  public CrashRegistry(HostIdentity self) {
     this.leases = new ExecutionLeases(self);
   }
 
   /** Sets whether this host receives messages from all known hosts, and so what they observed. */
-  public void hearsAll(boolean all) {
+  public void allHostsReporting(boolean all) {
     history.allHostsReporting(all);
   }
 
@@ -75,11 +75,11 @@
    *
    * @param lastSentMs when the request was sent to it
    */
-  public CrashNews crashed(
+  public CrashUpdate recordCrash(
       HostIdentity endpoint, RequestFingerprint request, long takenMs, long nowMs) {
     EndpointCrash crash = new EndpointCrash(endpoint, takenMs, nowMs, Set.of(request));
     EndpointCrash changed = add(crash, nowMs);
-    return changed == null ? CrashNews.NONE : CrashNews.of(changed);
+    return changed == null ? CrashUpdate.NONE : CrashUpdate.of(changed);
   }
 
   /**
@@ -90,12 +90,12 @@
    * @param lastSentMs when the request was sent to it
    * @param brokenMs when the connection broke
    */
-  public CrashNews startIsOver(
+  public CrashUpdate recordIncarnationEnd(
       HostIdentity start, RequestFingerprint request, long takenMs, long brokenMs) {
     EndpointCrash crash = new EndpointCrash(start, takenMs, brokenMs, Set.of(request));
     return history.hasCrashAtOtherTime(crash)
-        ? CrashNews.NONE
-        : crashed(start, request, takenMs, brokenMs);
+        ? CrashUpdate.NONE
+        : recordCrash(start, request, takenMs, brokenMs);
   }
 
   private EndpointCrash add(EndpointCrash crash, long nowMs) {
@@ -104,22 +104,22 @@
     digestStale = true;
     if (changed != null) {
       refreshSuspects();
-      changed.under().forEach(request -> leases.endStartedBefore(request, changed.atMs()));
-      dueMs = Math.min(dueMs, nowMs + CrashRules.SETTLE_MS);
+      changed.requests().forEach(request -> leases.endStartedBefore(request, changed.atMs()));
+      nextDecisionMs = Math.min(nextDecisionMs, nowMs + CrashRules.SETTLE_MS);
     }
     return changed;
   }
 
   private void refreshSuspects() {
     Set<RequestFingerprint> all = history.requests();
-    all.addAll(refused.keySet());
+    all.addAll(rejected.keySet());
     suspects = all;
     Set<Long> allLengths = new HashSet<>();
     all.forEach(request -> allLengths.add(request.bytes()));
     suspectLengths = allLengths;
     rules.invalidate();
     digestStale = true;
-    rejectedList = refused.values().stream().map(rejection -> rejection.record).toList();
+    rejectedList = rejected.values().stream().map(rejection -> rejection.record).toList();
   }
 
   /** Returns the fingerprint of a suspect; computes it only if the length is that of a suspect. */
@@ -131,37 +131,37 @@
   }
 
   /** Records an answer of an endpoint that did not crash; returns the update for other hosts. */
-  public CrashNews served(RequestContent content, long nowMs) {
+  public CrashUpdate recordAnswer(RequestContent content, long nowMs) {
     return suspect(content)
-        .map(request -> clear(new ServedRequest(request, nowMs)))
-        .orElse(CrashNews.NONE);
+        .map(request -> clear(new AnsweredRequest(request, nowMs)))
+        .orElse(CrashUpdate.NONE);
   }
 
   /** Clears a rejected request by an operator's order; returns the update for other hosts. */
-  public CrashNews letGo(RequestFingerprint request, long nowMs) {
-    return clear(new ServedRequest(request, nowMs));
+  public CrashUpdate clearRejection(RequestFingerprint request, long nowMs) {
+    return clear(new AnsweredRequest(request, nowMs));
   }
 
-  private CrashNews clear(ServedRequest served) {
+  private CrashUpdate clear(AnsweredRequest served) {
     Long before = lastAnsweredMs.get(served.request());
     boolean isNew = before == null || served.atMs() > before + CrashRules.SETTLE_MS;
     if (!isNew) {
-      return CrashNews.NONE;
+      return CrashUpdate.NONE;
     }
     put(lastAnsweredMs, served);
     leases.endStartedBefore(served.request(), served.atMs());
     inconclusiveRuns.forget(served.request(), served.atMs());
     history.removeRequest(served.request(), served.atMs());
-    Rejection rejection = refused.get(served.request());
+    Rejection rejection = rejected.get(served.request());
     if (rejection != null && rejection.record.sinceMs() <= served.atMs() + CrashRules.SETTLE_MS) {
-      refused.remove(served.request());
+      rejected.remove(served.request());
       put(clearedMs, served);
     }
     refreshSuspects();
-    return CrashNews.of(served);
+    return CrashUpdate.of(served);
   }
 
-  private static void put(Map<RequestFingerprint, Long> map, ServedRequest served) {
+  private static void put(Map<RequestFingerprint, Long> map, AnsweredRequest served) {
     BoundedMaps.putLast(map, served.request(), served.atMs(), MAX_REJECTED);
   }
 
@@ -169,36 +169,36 @@
   public CrashVerdict verdict(RequestContent content, long nowMs) {
     Optional<RequestFingerprint> request = suspect(content);
     if (request.isEmpty()) {
-      return CrashVerdict.FREE;
+      return CrashVerdict.ALLOWED;
     }
-    Rejection rejection = refused.get(request.get());
+    Rejection rejection = rejected.get(request.get());
     if (rejection != null && nowMs - rejection.lastArrivalMs <= REJECTION_EXPIRY_MS) {
       rejection.lastArrivalMs = nowMs;
-      refused.remove(request.get());
-      refused.put(request.get(), rejection);
-      return CrashVerdict.REFUSED;
+      rejected.remove(request.get());
+      rejected.put(request.get(), rejection);
+      return CrashVerdict.REJECTED;
     }
     boolean delayed = rules.isDelayed(request.get(), nowMs);
     if (delayed) {
       // Also if no decision was due any more: this bounds the delay of the request.
-      dueMs = Math.min(dueMs, nowMs + CrashRules.SETTLE_MS);
+      nextDecisionMs = Math.min(nextDecisionMs, nowMs + CrashRules.SETTLE_MS);
     }
-    return delayed ? CrashVerdict.HELD : CrashVerdict.FREE;
+    return delayed ? CrashVerdict.DELAYED : CrashVerdict.ALLOWED;
   }
 
   /** Returns whether a request needs an execution lease, so that one copy of it runs at a time. */
-  public boolean needsTurn(RequestContent content) {
+  public boolean needsLease(RequestContent content) {
     return suspect(content).filter(rules::requiresLease).isPresent();
   }
 
   /** Requests a lease unless there is one or a quarantine; returns the update for other hosts. */
-  public CrashNews askTurn(RequestContent content, long nowMs) {
+  public CrashUpdate requestLease(RequestContent content, long nowMs) {
     return content
         .fingerprint()
         .filter(request -> quarantinedUntilMs(request) <= nowMs)
         .map(request -> leases.request(request, nowMs))
-        .map(CrashNews::of)
-        .orElse(CrashNews.NONE);
+        .map(CrashUpdate::of)
+        .orElse(CrashUpdate.NONE);
   }
 
   /** Returns when the quarantine of a request ends; in the past, or 0, for most requests. */
@@ -211,17 +211,17 @@
   }
 
   /** Acquires the lease that this host requested, once all other hosts must have received it. */
-  public Optional<SuspectTurn> beginTurn(RequestContent content, long nowMs) {
+  public Optional<ExecutionLease> acquireLease(RequestContent content, long nowMs) {
     return content.fingerprint().flatMap(request -> leases.acquire(request, nowMs));
   }
 
   /** Returns whether an acquired lease is still valid. */
-  public boolean lasts(SuspectTurn lease, long nowMs) {
+  public boolean isLeaseValid(ExecutionLease lease, long nowMs) {
     return leases.isValid(lease, nowMs);
   }
 
   /** Releases an acquired lease, because the request was not run under it or was answered. */
-  public void endTurn(SuspectTurn lease) {
+  public void releaseLease(ExecutionLease lease) {
     leases.release(lease);
   }
 
@@ -229,11 +229,11 @@
    * Releases a lease after a run without an answer, and counts the run unless an endpoint is known
    * to have crashed under it meanwhile; returns the update for other hosts.
    */
-  public CrashNews spendTurn(SuspectTurn lease) {
+  public CrashUpdate recordInconclusiveRun(ExecutionLease lease) {
     leases.release(lease);
     boolean crashIsKnown =
         history.crashesWith(lease.request()).stream().anyMatch(one -> one.atMs() >= lease.atMs());
-    return crashIsKnown ? CrashNews.NONE : CrashNews.of(inconclusiveRuns.recordRun(lease));
+    return crashIsKnown ? CrashUpdate.NONE : CrashUpdate.of(inconclusiveRuns.recordRun(lease));
   }
 
   /** Returns whether a request must not share endpoints with other suspects. */
@@ -252,34 +252,34 @@
   }
 
   /** Returns when {@link #decide} is due next, or {@link Long#MAX_VALUE}. */
-  public long dueMs() {
-    return dueMs;
+  public long nextDecisionMs() {
+    return nextDecisionMs;
   }
 
   /** Evaluates all settled crashes; returns the requests that are rejected from now on. */
-  public List<RefusedRequest> decide(long nowMs) {
-    if (nowMs < dueMs) {
+  public List<RejectedRequest> decide(long nowMs) {
+    if (nowMs < nextDecisionMs) {
       return List.of();
     }
-    if (refused.values().removeIf(entry -> nowMs - entry.lastArrivalMs > REJECTION_EXPIRY_MS)) {
+    if (rejected.values().removeIf(entry -> nowMs - entry.lastArrivalMs > REJECTION_EXPIRY_MS)) {
       refreshSuspects();
     }
-    List<RefusedRequest> newlyRejected = new ArrayList<>();
+    List<RejectedRequest> newlyRejected = new ArrayList<>();
     for (RequestFingerprint request : history.requests()) {
-      if (history.crashCount(request) >= CrashRules.MIN_CRASHES && !refused.containsKey(request)) {
+      if (history.crashCount(request) >= CrashRules.MIN_CRASHES && !rejected.containsKey(request)) {
         List<EndpointCrash> settled = settledCrashes(request, nowMs);
         CrashFinding finding = rules.evaluate(request, settled);
         findings.add(finding);
         if (finding.isCause()) {
-          newlyRejected.add(reject(new RefusedRequest(request, nowMs, names(settled)), nowMs));
+          newlyRejected.add(reject(new RejectedRequest(request, nowMs, names(settled)), nowMs));
         }
       }
     }
-    dueMs = Long.MAX_VALUE;
+    nextDecisionMs = Long.MAX_VALUE;
     boolean unsettled =
         !history.matching(crash -> nowMs - crash.atMs() < CrashRules.SETTLE_MS).isEmpty();
     if (unsettled) {
-      dueMs = nowMs + CrashRules.SETTLE_MS / 2;
+      nextDecisionMs = nowMs + CrashRules.SETTLE_MS / 2;
     }
     return newlyRejected;
   }
@@ -302,18 +302,18 @@
         .toList();
   }
 
-  private RefusedRequest reject(RefusedRequest record, long nowMs) {
-    BoundedMaps.putLast(refused, record.request(), new Rejection(record, nowMs), MAX_REJECTED);
+  private RejectedRequest reject(RejectedRequest record, long nowMs) {
+    BoundedMaps.putLast(rejected, record.request(), new Rejection(record, nowMs), MAX_REJECTED);
     refreshSuspects();
     return record;
   }
 
   /** Merges the update of another host; returns what was new here, to be forwarded. */
-  public CrashNews heard(CrashNews update, long nowMs) {
-    List<ServedRequest> answered =
-        update.served().stream().filter(one -> !clear(one).isEmpty()).toList();
-    List<RefusedRequest> rejected =
-        update.refused().stream().filter(this::isNew).map(one -> reject(one, nowMs)).toList();
+  public CrashUpdate merge(CrashUpdate update, long nowMs) {
+    List<AnsweredRequest> answered =
+        update.answered().stream().filter(one -> !clear(one).isEmpty()).toList();
+    List<RejectedRequest> rejected =
+        update.rejected().stream().filter(this::isNew).map(one -> reject(one, nowMs)).toList();
     List<EndpointCrash> crashes = new ArrayList<>();
     for (EndpointCrash crash : update.crashes()) {
       EndpointCrash changed = history.covers(crash) ? null : add(crash, nowMs);
@@ -321,39 +321,42 @@
         crashes.add(changed);
       }
     }
-    List<SuspectTurn> newLeases =
-        update.turns().stream().filter(one -> leases.merge(one, nowMs)).toList();
-    List<SpentTurn> newRuns = update.spent().stream().filter(this::mergeInconclusiveRuns).toList();
-    return new CrashNews(crashes, answered, rejected, newLeases, newRuns, update.hops() + 1);
+    List<ExecutionLease> newLeases =
+        update.leases().stream().filter(one -> leases.merge(one, nowMs)).toList();
+    List<InconclusiveRuns> newRuns =
+        update.inconclusiveRuns().stream().filter(this::mergeInconclusiveRuns).toList();
+    return new CrashUpdate(crashes, answered, rejected, newLeases, newRuns, update.hops() + 1);
   }
 
-  private boolean mergeInconclusiveRuns(SpentTurn received) {
-    leases.endStartedBefore(received.request(), received.atMs() + ExecutionLeases.PROPAGATION_MS);
+  private boolean mergeInconclusiveRuns(InconclusiveRuns received) {
+    leases.endStartedBefore(
+        received.request(), received.lastStartedMs() + ExecutionLeases.PROPAGATION_MS);
     Long answeredMs = lastAnsweredMs.get(received.request());
-    return (answeredMs == null || received.atMs() > answeredMs) && inconclusiveRuns.merge(received);
+    return (answeredMs == null || received.lastStartedMs() > answeredMs)
+        && inconclusiveRuns.merge(received);
   }
 
-  private boolean isNew(RefusedRequest received) {
+  private boolean isNew(RejectedRequest received) {
     Long atMs = clearedMs.get(received.request());
     boolean cleared = atMs != null && received.sinceMs() <= atMs + CrashRules.SETTLE_MS;
-    return !cleared && !refused.containsKey(received.request());
+    return !cleared && !rejected.containsKey(received.request());
   }
 
   /** Returns all evidence that no rejection explains, for a host that may lack some of it. */
-  public CrashNews all() {
-    List<ServedRequest> clearedRequests = new ArrayList<>();
-    clearedMs.forEach((request, atMs) -> clearedRequests.add(new ServedRequest(request, atMs)));
-    return new CrashNews(
+  public CrashUpdate fullUpdate() {
+    List<AnsweredRequest> clearedRequests = new ArrayList<>();
+    clearedMs.forEach((request, atMs) -> clearedRequests.add(new AnsweredRequest(request, atMs)));
+    return new CrashUpdate(
         history.matching(crash -> !rules.isExplained(crash)),
         clearedRequests,
-        refused(),
+        rejected(),
         List.of(),
         inconclusiveRuns.all(),
         0);
   }
 
   /** Returns the requests that are rejected now. */
-  public List<RefusedRequest> refused() {
+  public List<RejectedRequest> rejected() {
     return rejectedList;
   }
 
@@ -361,19 +364,19 @@
    * Returns a hash of the known evidence, equal on two hosts that have the same; 0 if there is
    * none.
    */
-  public long summary() {
+  public long digest() {
     if (digestStale) {
-      summary = computeDigest();
+      digest = computeDigest();
       digestStale = false;
     }
-    return summary;
+    return digest;
   }
 
   private long computeDigest() {
-    long sum = hashOf(refused.keySet());
+    long sum = hashOf(rejected.keySet());
     for (EndpointCrash crash : history.matching(one -> !rules.isExplained(one))) {
       long start = crash.endpoint().host().hashCode() + crash.endpoint().incarnation();
-      sum += (1 + start) * (1 + hashOf(crash.under()));
+      sum += (1 + start) * (1 + hashOf(crash.requests()));
     }
     return sum;
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashRules.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashRules.java
@@ -290,12 +290,14 @@
         counted.stream().mapToLong(EndpointCrash::atMs).max().orElse(0) - UNRELATED_WINDOW_MS;
     return history.matching(
         crash ->
-            crash.atMs() > sinceMs && !crash.under().contains(request) && !hasLikelyCause(crash));
+            crash.atMs() > sinceMs
+                && !crash.requests().contains(request)
+                && !hasLikelyCause(crash));
   }
 
   /** Returns whether a rejected request was on the endpoint. */
   boolean isExplained(EndpointCrash crash) {
-    return crash.under().stream().anyMatch(rejected::containsKey);
+    return crash.requests().stream().anyMatch(rejected::containsKey);
   }
 
   /**
@@ -304,7 +306,7 @@
    */
   private boolean hasLikelyCause(EndpointCrash crash) {
     return isExplained(crash)
-        || crash.under().stream()
+        || crash.requests().stream()
             .anyMatch(request -> history.crashCount(request) >= MIN_CRASHES_WHEN_AMBIGUOUS);
   }
 
@@ -313,13 +315,13 @@
    * cause of its crash.
    */
   private boolean hasPossibleCause(EndpointCrash crash) {
-    return hasLikelyCause(crash) || crash.under().stream().anyMatch(this::requiresLease);
+    return hasLikelyCause(crash) || crash.requests().stream().anyMatch(this::requiresLease);
   }
 
   /** Returns whether another request on the endpoint has more crashes than this one. */
   private boolean hasMoreLikelyCause(EndpointCrash crash, RequestFingerprint request) {
     int crashes = history.crashCount(request);
-    return crash.under().stream().anyMatch(other -> history.crashCount(other) > crashes);
+    return crash.requests().stream().anyMatch(other -> history.crashCount(other) > crashes);
   }
 
   private static int countBursts(List<EndpointCrash> crashes) {
@@ -340,8 +342,8 @@
    */
   private static Set<RequestFingerprint> otherRequestsOnAll(
       RequestFingerprint request, List<EndpointCrash> crashes) {
-    Set<RequestFingerprint> all = new HashSet<>(crashes.get(0).under());
-    crashes.forEach(crash -> all.retainAll(crash.under()));
+    Set<RequestFingerprint> all = new HashSet<>(crashes.get(0).requests());
+    crashes.forEach(crash -> all.retainAll(crash.requests()));
     all.remove(request);
     return all;
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashNews.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashUpdate.java
@@ -14,12 +14,12 @@
  * @param inconclusiveRuns how often suspected requests ran without an answer or a proven crash
  * @param hops how often it was forwarded
  */
-public record CrashNews(
+public record CrashUpdate(
     List<EndpointCrash> crashes,
-    List<ServedRequest> served,
-    List<RefusedRequest> refused,
-    List<SuspectTurn> turns,
-    List<SpentTurn> spent,
+    List<AnsweredRequest> answered,
+    List<RejectedRequest> rejected,
+    List<ExecutionLease> leases,
+    List<InconclusiveRuns> inconclusiveRuns,
     int hops) {
   /**
    * Maximum number of times that an update is forwarded: from a host through the leaders of two
@@ -27,60 +27,61 @@
    * receives its own update late may therefore take it for a new one, and without this limit would
    * forward it forever.
    */
-  public static final int MOST_HOPS = 3;
+  public static final int MAX_HOPS = 3;
 
   /** The empty update. */
-  public static final CrashNews NONE = new CrashNews(List.of(), List.of(), List.of(), List.of());
+  public static final CrashUpdate NONE =
+      new CrashUpdate(List.of(), List.of(), List.of(), List.of());
 
   /** Creates an update without inconclusive runs. */
-  public CrashNews(
+  public CrashUpdate(
       List<EndpointCrash> crashes,
-      List<ServedRequest> answeredRequests,
-      List<RefusedRequest> rejectedRequests,
-      List<SuspectTurn> newLeases) {
+      List<AnsweredRequest> answeredRequests,
+      List<RejectedRequest> rejectedRequests,
+      List<ExecutionLease> newLeases) {
     this(crashes, answeredRequests, rejectedRequests, newLeases, List.of(), 0);
   }
 
   /** Copies the lists to make the update immutable. */
-  public CrashNews {
+  public CrashUpdate {
     crashes = List.copyOf(crashes);
-    served = List.copyOf(served);
-    refused = List.copyOf(refused);
-    turns = List.copyOf(turns);
-    spent = List.copyOf(spent);
+    answered = List.copyOf(answered);
+    rejected = List.copyOf(rejected);
+    leases = List.copyOf(leases);
+    inconclusiveRuns = List.copyOf(inconclusiveRuns);
   }
 
   /** Returns an update with one crash. */
-  static CrashNews of(EndpointCrash crash) {
-    return new CrashNews(List.of(crash), List.of(), List.of(), List.of());
+  static CrashUpdate of(EndpointCrash crash) {
+    return new CrashUpdate(List.of(crash), List.of(), List.of(), List.of());
   }
 
   /** Returns an update with one answered request. */
-  static CrashNews of(ServedRequest request) {
-    return new CrashNews(List.of(), List.of(request), List.of(), List.of());
+  static CrashUpdate of(AnsweredRequest request) {
+    return new CrashUpdate(List.of(), List.of(request), List.of(), List.of());
   }
 
   /** Returns an update with rejected requests. */
-  public static CrashNews ofRefused(List<RefusedRequest> requests) {
-    return new CrashNews(List.of(), List.of(), requests, List.of());
+  public static CrashUpdate ofRejected(List<RejectedRequest> requests) {
+    return new CrashUpdate(List.of(), List.of(), requests, List.of());
   }
 
   /** Returns an update with one execution lease. */
-  static CrashNews of(SuspectTurn lease) {
-    return new CrashNews(List.of(), List.of(), List.of(), List.of(lease));
+  static CrashUpdate of(ExecutionLease lease) {
+    return new CrashUpdate(List.of(), List.of(), List.of(), List.of(lease));
   }
 
   /** Returns an update with the inconclusive runs of one request at one host. */
-  static CrashNews of(SpentTurn runs) {
-    return new CrashNews(List.of(), List.of(), List.of(), List.of(), List.of(runs), 0);
+  static CrashUpdate of(InconclusiveRuns runs) {
+    return new CrashUpdate(List.of(), List.of(), List.of(), List.of(), List.of(runs), 0);
   }
 
   /** Returns whether it contains nothing. */
   public boolean isEmpty() {
     return crashes.isEmpty()
-        && served.isEmpty()
-        && refused.isEmpty()
-        && turns.isEmpty()
-        && spent.isEmpty();
+        && answered.isEmpty()
+        && rejected.isEmpty()
+        && leases.isEmpty()
+        && inconclusiveRuns.isEmpty();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashVerdict.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashVerdict.java
@@ -4,9 +4,9 @@
 /** Whether a request may be sent. */
 public enum CrashVerdict {
   /** It may be sent. */
-  FREE,
+  ALLOWED,
   /** It must wait until the reports of other hosts have had time to arrive. */
-  HELD,
+  DELAYED,
   /** It is rejected, because endpoints crash under it. */
-  REFUSED
+  REJECTED
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/EndpointCrash.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/EndpointCrash.java
@@ -14,7 +14,7 @@
  * @param requests the requests that it had, as far as known
  */
 public record EndpointCrash(
-    HostIdentity endpoint, long takenMs, long atMs, Set<RequestFingerprint> under) {
+    HostIdentity endpoint, long lastSentMs, long atMs, Set<RequestFingerprint> requests) {
   /**
    * Tolerance when the time of sending is compared with the time of a crash, in milliseconds. Times
    * of other hosts are transmitted as ages, to which the transport adds 10 to 50 ms. An endpoint is
@@ -24,12 +24,12 @@
 
   /** Copies the set to make the crash immutable. */
   public EndpointCrash {
-    under = Set.copyOf(under);
+    requests = Set.copyOf(requests);
   }
 
   /** Returns the same crash with other requests. */
   EndpointCrash withRequests(Set<RequestFingerprint> others) {
-    return new EndpointCrash(endpoint, takenMs, atMs, others);
+    return new EndpointCrash(endpoint, lastSentMs, atMs, others);
   }
 
   /**
@@ -54,7 +54,7 @@
           ? mayBeCrashOf(other, withinMs)
           : other.mayBeCrashOf(this, withinMs);
     }
-    boolean hasIncarnation = endpoint.incarnation() != Endpoint.START_NOT_TOLD;
+    boolean hasIncarnation = endpoint.incarnation() != Endpoint.UNKNOWN_INCARNATION;
     return hasIncarnation || Math.abs(atMs - other.atMs) <= withinMs;
   }
 
@@ -65,12 +65,13 @@
    */
   boolean covers(EndpointCrash report) {
     return endpoint.equals(report.endpoint)
-        && under.containsAll(report.under)
-        && atMs - takenMs == report.atMs - report.takenMs;
+        && requests.containsAll(report.requests)
+        && atMs - lastSentMs == report.atMs - report.lastSentMs;
   }
 
   private boolean isSeparatedByRequest(EndpointCrash other) {
-    return takenMs > other.atMs + TIME_TOLERANCE_MS || other.takenMs > atMs + TIME_TOLERANCE_MS;
+    return lastSentMs > other.atMs + TIME_TOLERANCE_MS
+        || other.lastSentMs > atMs + TIME_TOLERANCE_MS;
   }
 
   private boolean isEarlierIncarnation(EndpointCrash other) {
@@ -95,7 +96,7 @@
     long endedMs = Math.min(atMs, other.atMs);
     return new EndpointCrash(
         isEarlierIncarnation(other) ? other.endpoint : endpoint,
-        Math.min(Math.max(takenMs, other.takenMs), endedMs),
+        Math.min(Math.max(lastSentMs, other.lastSentMs), endedMs),
         endedMs,
         allRequests);
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/SuspectTurn.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/ExecutionLease.java
@@ -11,4 +11,4 @@
  * @param host the host that sends it
  * @param atMs when the lease began, in milliseconds of this host's clock
  */
-public record SuspectTurn(RequestFingerprint request, HostIdentity host, long atMs) {}
+public record ExecutionLease(RequestFingerprint request, HostIdentity host, long atMs) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/ExecutionLeases.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/ExecutionLeases.java
@@ -31,19 +31,19 @@
   private static final int MAX_LEASES = 256;
 
   private final HostIdentity self;
-  private final Map<RequestFingerprint, SuspectTurn> leases = new LinkedHashMap<>();
-  private final Set<SuspectTurn> acquired = new HashSet<>();
+  private final Map<RequestFingerprint, ExecutionLease> leases = new LinkedHashMap<>();
+  private final Set<ExecutionLease> acquired = new HashSet<>();
 
   ExecutionLeases(HostIdentity self) {
     this.self = self;
   }
 
   /** Requests a lease for this host; returns it, or null if there is a current lease. */
-  SuspectTurn request(RequestFingerprint request, long nowMs) {
+  ExecutionLease request(RequestFingerprint request, long nowMs) {
     if (currentLease(request, nowMs) != null) {
       return null;
     }
-    SuspectTurn lease = new SuspectTurn(request, self, nowMs);
+    ExecutionLease lease = new ExecutionLease(request, self, nowMs);
     put(lease);
     return lease;
   }
@@ -52,20 +52,20 @@
    * Acquires this host's lease once the others have received it; empty before that, or if it is
    * already acquired.
    */
-  Optional<SuspectTurn> acquire(RequestFingerprint request, long nowMs) {
-    SuspectTurn lease = currentLease(request, nowMs);
+  Optional<ExecutionLease> acquire(RequestFingerprint request, long nowMs) {
+    ExecutionLease lease = currentLease(request, nowMs);
     boolean isOwn =
         lease != null && lease.host().equals(self) && nowMs - lease.atMs() >= PROPAGATION_MS;
     return isOwn && acquired.add(lease) ? Optional.of(lease) : Optional.empty();
   }
 
   /** Returns whether an acquired lease is still valid. */
-  boolean isValid(SuspectTurn lease, long nowMs) {
+  boolean isValid(ExecutionLease lease, long nowMs) {
     return lease.equals(currentLease(lease.request(), nowMs));
   }
 
   /** Releases an acquired lease: its attempt completed, and no endpoint crashed under it. */
-  void release(SuspectTurn lease) {
+  void release(ExecutionLease lease) {
     if (lease.equals(leases.get(lease.request()))) {
       forget(lease.request());
     }
@@ -76,7 +76,7 @@
    * then.
    */
   void endStartedBefore(RequestFingerprint request, long atMs) {
-    SuspectTurn lease = leases.get(request);
+    ExecutionLease lease = leases.get(request);
     if (lease != null && lease.atMs() <= atMs) {
       forget(request);
     }
@@ -87,8 +87,8 @@
   }
 
   /** Merges another host's lease; returns whether it takes precedence over the current one. */
-  boolean merge(SuspectTurn received, long nowMs) {
-    SuspectTurn current = currentLease(received.request(), nowMs);
+  boolean merge(ExecutionLease received, long nowMs) {
+    ExecutionLease current = currentLease(received.request(), nowMs);
     boolean expired = nowMs - received.atMs() > LEASE_MS;
     if (expired || current != null && !hasPrecedence(received, current)) {
       return false;
@@ -97,7 +97,7 @@
     return true;
   }
 
-  private static boolean hasPrecedence(SuspectTurn received, SuspectTurn current) {
+  private static boolean hasPrecedence(ExecutionLease received, ExecutionLease current) {
     if (received.host().equals(current.host())) {
       return received.atMs() > current.atMs() + PROPAGATION_MS;
     }
@@ -107,12 +107,12 @@
         : received.atMs() < current.atMs();
   }
 
-  private SuspectTurn currentLease(RequestFingerprint request, long nowMs) {
-    SuspectTurn lease = leases.get(request);
+  private ExecutionLease currentLease(RequestFingerprint request, long nowMs) {
+    ExecutionLease lease = leases.get(request);
     return lease == null || nowMs - lease.atMs() > LEASE_MS ? null : lease;
   }
 
-  private void put(SuspectTurn lease) {
+  private void put(ExecutionLease lease) {
     forget(lease.request());
     leases.put(lease.request(), lease);
     if (leases.size() > MAX_LEASES) {
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/InconclusiveRunTable.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/InconclusiveRunTable.java
@@ -30,31 +30,32 @@
    */
   private static final int MAX_REQUESTS = 256;
 
-  private final Map<RequestFingerprint, Map<HostIdentity, SpentTurn>> runsByRequest =
+  private final Map<RequestFingerprint, Map<HostIdentity, InconclusiveRuns>> runsByRequest =
       new LinkedHashMap<>();
 
   /** Counts an inconclusive run at this host; returns the new count for other hosts. */
-  SpentTurn recordRun(SuspectTurn lease) {
-    SpentTurn previous = runsOf(lease.request()).get(lease.host());
-    int count = previous == null ? 1 : previous.turns() + 1;
-    SpentTurn updated = new SpentTurn(lease.request(), lease.host(), count, lease.atMs());
+  InconclusiveRuns recordRun(ExecutionLease lease) {
+    InconclusiveRuns previous = runsOf(lease.request()).get(lease.host());
+    int count = previous == null ? 1 : previous.count() + 1;
+    InconclusiveRuns updated =
+        new InconclusiveRuns(lease.request(), lease.host(), count, lease.atMs());
     merge(updated);
     return updated;
   }
 
   /** Merges the count of a host; returns whether it changed anything. */
-  boolean merge(SpentTurn received) {
-    SpentTurn current = runsOf(received.request()).get(received.host());
-    if (current != null && current.turns() >= received.turns()) {
+  boolean merge(InconclusiveRuns received) {
+    InconclusiveRuns current = runsOf(received.request()).get(received.host());
+    if (current != null && current.count() >= received.count()) {
       return false;
     }
-    Map<HostIdentity, SpentTurn> byHost = new HashMap<>(runsOf(received.request()));
+    Map<HostIdentity, InconclusiveRuns> byHost = new HashMap<>(runsOf(received.request()));
     byHost.put(received.host(), received);
     BoundedMaps.putLast(runsByRequest, received.request(), byHost, MAX_REQUESTS);
     return true;
   }
 
-  private Map<HostIdentity, SpentTurn> runsOf(RequestFingerprint request) {
+  private Map<HostIdentity, InconclusiveRuns> runsOf(RequestFingerprint request) {
     return runsByRequest.getOrDefault(request, Map.of());
   }
 
@@ -68,15 +69,15 @@
   long quarantinedUntilMs(RequestFingerprint request, List<EndpointCrash> crashes) {
     int count = crashes.size();
     long lastMs = crashes.stream().mapToLong(EndpointCrash::atMs).max().orElse(0);
-    for (SpentTurn runs : runsOf(request).values()) {
-      count += runs.turns();
-      lastMs = Math.max(lastMs, runs.atMs());
+    for (InconclusiveRuns runs : runsOf(request).values()) {
+      count += runs.count();
+      lastMs = Math.max(lastMs, runs.lastStartedMs());
     }
     return count < MAX_RUNS ? 0 : lastMs + QUARANTINE_MS;
   }
 
   /** Returns the counts of all requests. */
-  List<SpentTurn> all() {
+  List<InconclusiveRuns> all() {
     return runsByRequest.values().stream().flatMap(byHost -> byHost.values().stream()).toList();
   }
 
@@ -84,8 +85,8 @@
    * Removes the runs of a request that started no later than a time, because it was answered then.
    */
   void forget(RequestFingerprint request, long untilMs) {
-    Map<HostIdentity, SpentTurn> remaining = new HashMap<>(runsOf(request));
-    remaining.values().removeIf(runs -> runs.atMs() <= untilMs);
+    Map<HostIdentity, InconclusiveRuns> remaining = new HashMap<>(runsOf(request));
+    remaining.values().removeIf(runs -> runs.lastStartedMs() <= untilMs);
     if (remaining.isEmpty()) {
       runsByRequest.remove(request);
     } else {
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/SpentTurn.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/InconclusiveRuns.java
@@ -13,4 +13,5 @@
  * @param lastStartedMs when the lease of the last of these runs began, in milliseconds of this
  *     host's clock
  */
-public record SpentTurn(RequestFingerprint request, HostIdentity host, int turns, long atMs) {}
+public record InconclusiveRuns(
+    RequestFingerprint request, HostIdentity host, int count, long lastStartedMs) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/RefusedRequest.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/RejectedRequest.java
@@ -10,9 +10,9 @@
  * @param sinceMs when it was rejected, in milliseconds of this host's clock
  * @param endpoints the names of the endpoints that crashed under it before
  */
-public record RefusedRequest(RequestFingerprint request, long sinceMs, List<String> endpoints) {
+public record RejectedRequest(RequestFingerprint request, long sinceMs, List<String> endpoints) {
   /** Copies the list to make the record immutable. */
-  public RefusedRequest {
+  public RejectedRequest {
     endpoints = List.copyOf(endpoints);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineCandidate.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineCandidate.java
@@ -39,7 +39,7 @@
 
   /** Returns the work of one segment of a prompt on this engine, at its current slowness. */
   EngineForecast.PrefillWork segment(long promptTokens, int engines) {
-    double ms = profile().readMs(promptTokens) / engines * forecast.slowness();
+    double ms = profile().prefillMs(promptTokens) / engines * forecast.slowness();
     return new EngineForecast.PrefillWork(ms, share(promptTokens, engines));
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineIterations.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineIterations.java
@@ -68,7 +68,7 @@
 
   /** Returns the maximum number of tokens that an iteration prefills while streams decode. */
   long maxPrefillTokens() {
-    return (long) profile.stepsPerPass() * profile.chunkTokens();
+    return (long) profile.stepsPerIteration() * profile.chunkTokens();
   }
 
   /** Returns the remaining time of the current iteration, in milliseconds; 0 if there is none. */
@@ -182,7 +182,7 @@
     if (!decodes) {
       JobProgress first = waiting.remove(0);
       prefillMs += first.schedule(first.unscheduledTokens());
-      decodes = first.job.writes();
+      decodes = first.job.decodes();
     }
     spareTokens = decodes ? maxPrefillTokens() : 0;
     for (JobProgress entry : waiting) {
@@ -198,7 +198,7 @@
 
   private static void markPaused(List<JobProgress> decoding, double iterationMs) {
     for (JobProgress entry : decoding) {
-      long pauseMs = entry.job.aims().pauseMs();
+      long pauseMs = entry.job.latencyTargets().pauseMs();
       entry.paused |= pauseMs > 0 && iterationMs > pauseMs;
     }
   }
@@ -213,12 +213,12 @@
     int streams = 0;
     long context = 0;
     for (JobProgress entry : entries.values()) {
-      if (entry.decoding() || entry.job.writes() && entry.unscheduledTokens() == 0) {
+      if (entry.decoding() || entry.job.decodes() && entry.unscheduledTokens() == 0) {
         streams++;
         context += entry.segmentTokens;
       }
     }
-    return entries.isEmpty() ? 0 : profile.passMs(streams, context);
+    return entries.isEmpty() ? 0 : profile.iterationMs(streams, context);
   }
 
   private List<JobProgress> decoding() {
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineJob.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineJob.java
@@ -2,7 +2,7 @@
 package org.fawndrum.coordination.engine;
 
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 
 /**
  * One job at one endpoint.
@@ -13,7 +13,7 @@
  * @param memoryTokens the maximum cache memory that it uses there, in tokens
  * @param segments the number of engines that share the prefill of the prompt, at least 1
  * @param decodes whether the answer is generated there
- * @param aims the latency targets of its caller
+ * @param latencyTargets the latency targets of its caller
  * @param sentMs when it was sent, in milliseconds of the host's clock
  */
 public record EngineJob(
@@ -21,7 +21,7 @@
     HostIdentity endpoint,
     long promptTokens,
     long memoryTokens,
-    int parts,
-    boolean writes,
-    RequestAims aims,
+    int segments,
+    boolean decodes,
+    LatencyTargets latencyTargets,
     long sentMs) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineLoad.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineLoad.java
@@ -47,12 +47,12 @@
   }
 
   /** Records that a prompt is prefilled: its first token came. */
-  public void read(long id, long nowMs) {
+  public void recordFirstToken(long id, long nowMs) {
     JobProgress entry = iterations.entry(id);
     if (entry == null || entry.firstTokenConfirmed || profile == null) {
       return;
     }
-    if (!entry.job.writes()) {
+    if (!entry.job.decodes()) {
       // The segment was prefilled long before; the time of the first token says nothing about this
       // engine's iteration.
       entry.confirmFirstToken(nowMs);
@@ -84,12 +84,12 @@
   }
 
   /** Removes a job that completed or failed. */
-  public void ended(long id, long nowMs) {
+  public void remove(long id, long nowMs) {
     iterations.remove(id, nowMs);
   }
 
   /** Returns the number of jobs. */
-  public int size() {
+  public int jobCount() {
     return iterations.entries().size();
   }
 
@@ -97,7 +97,7 @@
   public int streams() {
     int count = 0;
     for (JobProgress entry : iterations.entries()) {
-      count += entry.job.writes() ? 1 : 0;
+      count += entry.job.decodes() ? 1 : 0;
     }
     return count;
   }
@@ -152,7 +152,7 @@
   private int shortStreams(long longTokens) {
     int count = 0;
     for (JobProgress entry : iterations.entries()) {
-      count += entry.job.writes() && entry.job.promptTokens() < longTokens ? 1 : 0;
+      count += entry.job.decodes() && entry.job.promptTokens() < longTokens ? 1 : 0;
     }
     return count;
   }
@@ -161,7 +161,7 @@
   private int helperSegments() {
     int count = 0;
     for (JobProgress entry : iterations.entries()) {
-      count += !entry.isPrefilled() && !entry.job.writes() ? 1 : 0;
+      count += !entry.isPrefilled() && !entry.job.decodes() ? 1 : 0;
     }
     return count;
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineModelPlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineModelPlacement.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.fawndrum.coordination.EndpointState;
-import org.fawndrum.coordination.PassedOver;
+import org.fawndrum.coordination.PassedOverEndpoint;
 import org.fawndrum.coordination.Placement;
 import org.fawndrum.coordination.Reason;
 import org.fawndrum.coordination.RequestFacts;
@@ -28,7 +28,7 @@
    * Maximum number of engines that can prefill one prompt: the one that decodes and sixteen
    * helpers.
    */
-  public static final int MOST_ENGINES = 17;
+  public static final int MAX_ENGINES = 17;
 
   /**
    * Minimum remaining prefill time of other shared prompts for which a prompt waits, in
@@ -184,7 +184,7 @@
     }
     int stepTokens = Math.max(1, candidates.get(0).profile().chunkTokens());
     long steps = facts.promptTokens() / stepTokens;
-    return (int) Math.max(1, Math.min(MOST_ENGINES, steps));
+    return (int) Math.max(1, Math.min(MAX_ENGINES, steps));
   }
 
   private Optional<Choice> choosePlainEndpoint(Query query) {
@@ -196,7 +196,7 @@
 
   private double plainCost(EndpointState state, Query query) {
     double otherZone = state.endpoint().zone().equals(query.zone()) ? 0 : OTHER_ZONE_JOBS;
-    return state.load().size() + otherZone;
+    return state.load().jobCount() + otherZone;
   }
 
   private List<EngineCandidate> candidates(Query query) {
@@ -311,18 +311,18 @@
     }
     Reason reason = helpers.isEmpty() ? Reason.EARLIEST_FIRST_TOKEN : Reason.SEVERAL_ENGINES;
     OptionalLong expectedMs = OptionalLong.of(Math.round(plan.firstTokenMs()));
-    List<PassedOver> passedOver = passedOver(facts, candidates, first);
+    List<PassedOverEndpoint> passedOver = passedOver(facts, candidates, first);
     return new Choice(first.state(), reason, passedOver, helpers, expectedMs);
   }
 
-  private static List<PassedOver> passedOver(
+  private static List<PassedOverEndpoint> passedOver(
       RequestFacts facts, List<EngineCandidate> candidates, Option best) {
-    List<PassedOver> passedOver = new ArrayList<>(MAX_PASSED_OVER);
+    List<PassedOverEndpoint> passedOver = new ArrayList<>(MAX_PASSED_OVER);
     for (EngineCandidate candidate : candidates) {
       if (passedOver.size() < MAX_PASSED_OVER && candidate != best.candidate()) {
         EngineForecast.PrefillWork prompt = candidate.segment(facts.promptTokens(), 1);
         long firstTokenMs = Math.round(candidate.forecast().singleEngineMs(prompt));
-        passedOver.add(new PassedOver(candidate.name(), firstTokenMs));
+        passedOver.add(new PassedOverEndpoint(candidate.name(), firstTokenMs));
       }
     }
     return List.copyOf(passedOver);
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineNews.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineUpdate.java
@@ -2,17 +2,17 @@
 package org.fawndrum.coordination.engine;
 
 /** An update from one daemon to the others about its jobs at endpoints. */
-public sealed interface EngineNews {
+public sealed interface EngineUpdate {
   /** A job was sent. */
-  record Placed(EngineJob job) implements EngineNews {}
+  record Placed(EngineJob job) implements EngineUpdate {}
 
   /** The prefill of a prompt completed: its first token came. */
-  record Read(long id) implements EngineNews {}
+  record Prefilled(long id) implements EngineUpdate {}
 
   /**
    * A job completed or failed.
    *
    * @param failed whether the endpoint seems to be the cause
    */
-  record Ended(long id, boolean failed) implements EngineNews {}
+  record Completed(long id, boolean failed) implements EngineUpdate {}
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/JobProgress.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/JobProgress.java
@@ -36,12 +36,12 @@
   JobProgress(EngineJob job, EngineProfile profile) {
     this.job = job;
     this.profile = profile;
-    this.segmentTokens = Math.max(1, job.promptTokens() / job.parts());
-    this.segmentMs = profile == null ? 0 : profile.readMs(job.promptTokens()) / job.parts();
+    this.segmentTokens = Math.max(1, job.promptTokens() / job.segments());
+    this.segmentMs = profile == null ? 0 : profile.prefillMs(job.promptTokens()) / job.segments();
   }
 
   boolean shared() {
-    return job.parts() > 1;
+    return job.segments() > 1;
   }
 
   /** Returns the tokens that are not scheduled in any iteration yet. */
@@ -58,7 +58,7 @@
   }
 
   private double prefillMs(long tokenCount) {
-    return shared() ? segmentMs * tokenCount / segmentTokens : profile.readMs(tokenCount);
+    return shared() ? segmentMs * tokenCount / segmentTokens : profile.prefillMs(tokenCount);
   }
 
   /** Schedules tokens in the current iteration; returns the time that they add, in milliseconds. */
@@ -105,6 +105,6 @@
 
   /** Returns whether its stream decodes there now. */
   boolean decoding() {
-    return job.writes() && isPrefilled();
+    return job.decodes() && isPrefilled();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementCosts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementCosts.java
@@ -49,7 +49,7 @@
     double afterMs = forecast.pauseMs(segment);
     double harm = 0;
     for (EngineJob job : forecast.unpausedStreams()) {
-      long pauseMs = job.aims().pauseMs();
+      long pauseMs = job.latencyTargets().pauseMs();
       if (pauseMs > 0) {
         harm +=
             pauseLoss(job)
@@ -67,8 +67,8 @@
   double prefillHarm(EngineForecast forecast, double segmentMs, int engines, boolean beforeOthers) {
     double harm = 0;
     for (EngineForecast.PendingPrefill pending : forecast.pendingPrefills()) {
-      long targetMs = pending.job().aims().firstTokenMs();
-      boolean shared = pending.job().parts() > 1;
+      long targetMs = pending.job().latencyTargets().firstTokenMs();
+      boolean shared = pending.job().segments() > 1;
       boolean isDelayed =
           pending.inIteration() ? beforeOthers && forecast.preemptible() : !shared || beforeOthers;
       if (isDelayed && targetMs > 0) {
@@ -76,7 +76,7 @@
             loss(pending.firstTokenMs() + segmentMs, targetMs)
                 - loss(pending.firstTokenMs(), targetMs);
         // A shared prompt is delayed once, however many of its engines have more to prefill.
-        int engineCount = Math.min(engines, pending.job().parts());
+        int engineCount = Math.min(engines, pending.job().segments());
         harm += value(pending.job().promptTokens()) * addedLoss / engineCount;
       }
     }
@@ -108,7 +108,7 @@
   }
 
   private static double targetMs(RequestFacts facts) {
-    long targetMs = facts.aims().firstTokenMs();
+    long targetMs = facts.latencyTargets().firstTokenMs();
     return targetMs > 0 ? targetMs : DEFAULT_TARGET_MS;
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/FleetOverlay.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/FleetOverlay.java
@@ -65,7 +65,7 @@
   }
 
   /** Records a message that came from a daemon itself. */
-  public void heardDirectly(FleetMember member, boolean subscribes, long nowMs) {
+  public void receivedFrom(FleetMember member, boolean subscribes, long nowMs) {
     if (isSelf(member.identity())) {
       return;
     }
@@ -86,7 +86,7 @@
    * @return whether it is to be used and forwarded: it is of a known incarnation of another daemon
    *     and newer than all its reports before
    */
-  public boolean take(FleetReport report, long nowMs) {
+  public boolean accept(FleetReport report, long nowMs) {
     DaemonState daemon = daemons.get(report.from().host());
     if (isSelf(report.from()) || daemon != null && daemon.isNewerThan(report.from())) {
       return false;
@@ -116,7 +116,7 @@
   }
 
   /** Adds daemons that another daemon lists as alive. */
-  public void learn(Collection<FleetMember> members, long nowMs) {
+  public void addMembers(Collection<FleetMember> members, long nowMs) {
     for (FleetMember member : members) {
       DaemonState daemon = daemons.get(member.identity().host());
       boolean notAlive = daemon == null || !daemon.isAlive();
@@ -127,7 +127,7 @@
   }
 
   /** Removes daemons that were silent for too long. */
-  public void forget(long nowMs) {
+  public void expire(long nowMs) {
     Iterator<DaemonState> all = daemons.values().iterator();
     while (all.hasNext()) {
       DaemonState daemon = all.next();
@@ -144,17 +144,17 @@
   }
 
   /** Returns the daemon that forwards this one's reports: itself if no better one answers. */
-  public FleetMember speaker(long nowMs) {
+  public FleetMember zoneLeader(long nowMs) {
     return links.linksAt(nowMs).leader();
   }
 
   /** Returns whether this daemon forwards the reports of others. */
-  public boolean passesOn(long nowMs) {
+  public boolean forwards(long nowMs) {
     return links.linksAt(nowMs).forwards();
   }
 
   /** Returns the daemons of the own zone that receive this one's messages. */
-  public List<FleetMember> near(long nowMs) {
+  public List<FleetMember> sameZoneLinks(long nowMs) {
     return links.linksAt(nowMs).sameZone();
   }
 
@@ -162,7 +162,7 @@
    * Returns the daemons of other zones that receive this one's messages; empty if it does not
    * forward.
    */
-  public List<FleetMember> far(long nowMs) {
+  public List<FleetMember> otherZoneLinks(long nowMs) {
     return links.linksAt(nowMs).otherZones();
   }
 
@@ -170,7 +170,7 @@
    * Returns whether a subscriber of another zone should subscribe to a leader of its own zone
    * instead.
    */
-  public boolean knowsBetter(FleetMember subscriber, long nowMs) {
+  public boolean hasCloserLeader(FleetMember subscriber, long nowMs) {
     FleetMember best = links.best(subscriber.zone(), nowMs);
     return !subscriber.zone().equals(self.zone())
         && best != null
@@ -205,12 +205,12 @@
   }
 
   /** Returns whether all known daemons sent a recent sign of life. */
-  public boolean hearsAll(long nowMs) {
+  public boolean allHostsReporting(long nowMs) {
     return daemons.values().stream().allMatch(daemon -> daemon.silentMs(nowMs) <= SILENT_ZONE_MS);
   }
 
   /** Returns the addresses of daemons that are silent now and may come back. */
-  public List<HostAddress> silent() {
+  public List<HostAddress> silentAddresses() {
     return daemons.values().stream()
         .filter(daemon -> !daemon.isAlive())
         .map(daemon -> daemon.member().address())
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/FleetReport.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/FleetReport.java
@@ -3,7 +3,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.state.HostIdentity;
 
 /**
@@ -12,7 +12,7 @@
  * @param from the daemon that the report is about
  * @param member the daemon's description of itself; present if the report is complete
  * @param sequence increases with each report of an incarnation
- * @param zone the zone of the endpoints that the updates are about, or {@link #EVERYWHERE}
+ * @param zone the zone of the endpoints that the updates are about, or {@link #ALL_ZONES}
  * @param complete whether the updates list all jobs of the daemon
  * @param updates the updates, in an order in which each can be applied
  */
@@ -21,18 +21,18 @@
     Optional<FleetMember> member,
     long sequence,
     String zone,
-    boolean whole,
-    List<EngineNews> news) {
+    boolean complete,
+    List<EngineUpdate> updates) {
   /** Used instead of a zone if the endpoints may be in any zone. */
-  public static final String EVERYWHERE = "";
+  public static final String ALL_ZONES = "";
 
   /** Copies the list to make the report immutable. */
   public FleetReport {
-    news = List.copyOf(news);
+    updates = List.copyOf(updates);
   }
 
   /** Returns whether daemons of a zone should receive the updates without delay. */
   public boolean concerns(String daemonsZone) {
-    return zone.equals(EVERYWHERE) || zone.equals(daemonsZone);
+    return zone.equals(ALL_ZONES) || zone.equals(daemonsZone);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/PeerView.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/PeerView.java
@@ -8,4 +8,4 @@
  * @param lastHeartbeatMs when that was received, in milliseconds of this host's clock
  * @param alive whether its heartbeats are recent; a peer that is not alive is suspected
  */
-public record PeerView(PeerFacts facts, long heardMs, boolean alive) {}
+public record PeerView(PeerFacts facts, long lastHeartbeatMs, boolean alive) {}
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneMembership.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneMembership.java
@@ -25,7 +25,7 @@
   private final String zone;
   private final MembershipSettings settings;
   private final Map<String, Peer> peers = new HashMap<>();
-  private final Map<String, EntryHost> listed = new TreeMap<>();
+  private final Map<String, EntryHost> setEntryHosts = new TreeMap<>();
   private final List<HostAddress> seeds;
   private long nextInZoneMs = Long.MIN_VALUE;
   private long nextOtherZonesMs = Long.MIN_VALUE;
@@ -65,11 +65,11 @@
   }
 
   /** Replaces the entry hosts that the platform lists. */
-  public void listed(List<EntryHost> entryHosts) {
-    listed.clear();
+  public void setEntryHosts(List<EntryHost> entryHosts) {
+    setEntryHosts.clear();
     for (EntryHost host : entryHosts) {
       if (!host.name().equals(self.host())) {
-        listed.put(host.name(), host);
+        setEntryHosts.put(host.name(), host);
       }
     }
   }
@@ -78,7 +78,7 @@
    * Records a heartbeat. Drops it if it is of an earlier incarnation, or not newer than the last
    * one received.
    */
-  public Change heard(PeerFacts facts, long nowMs) {
+  public Change receive(PeerFacts facts, long nowMs) {
     String host = facts.identity().host();
     if (host.equals(self.host())) {
       return Change.NONE;
@@ -107,7 +107,7 @@
    * Marks silent daemons as suspected and removes those that were silent for too long; returns the
    * newly suspected ones.
    */
-  public List<Changed> suspects(long nowMs) {
+  public List<Changed> updateSuspects(long nowMs) {
     List<Changed> changed = new ArrayList<>();
     long suspectMs = suspectAfterMs();
     for (Peer peer : peers.values()) {
@@ -137,7 +137,7 @@
   }
 
   /** Returns the addresses to which a heartbeat is due now; empty most of the time. */
-  public Set<HostAddress> dueNow(long nowMs) {
+  public Set<HostAddress> dueHeartbeats(long nowMs) {
     Set<HostAddress> due = new HashSet<>();
     if (nowMs >= nextInZoneMs) {
       nextInZoneMs = nowMs + settings.intervalMs(zoneSize());
@@ -145,7 +145,7 @@
     }
     if (nowMs >= nextOtherZonesMs) {
       nextOtherZonesMs = nowMs + settings.otherZoneMs();
-      if (speaker().equals(self)) {
+      if (zoneLeader().equals(self)) {
         due.addAll(otherZoneAddresses());
       }
     }
@@ -159,12 +159,12 @@
         addresses.add(peer.facts.address());
       }
     }
-    for (EntryHost host : listed.values()) {
+    for (EntryHost host : setEntryHosts.values()) {
       if (host.zone().equals(zone) && !peers.containsKey(host.name())) {
         addresses.add(host.peerAddress());
       }
     }
-    if (listed.isEmpty()) {
+    if (setEntryHosts.isEmpty()) {
       addresses.addAll(seeds);
     }
     return addresses;
@@ -172,14 +172,14 @@
 
   private Set<HostAddress> otherZoneAddresses() {
     Map<String, List<HostAddress>> byZone = new TreeMap<>();
-    for (EntryHost host : listed.values()) {
+    for (EntryHost host : setEntryHosts.values()) {
       if (!host.zone().equals(zone)) {
         byZone.computeIfAbsent(host.zone(), name -> new ArrayList<>()).add(host.peerAddress());
       }
     }
     for (Peer peer : peers.values()) {
       boolean otherZone = !peer.facts.zone().equals(zone);
-      if (otherZone && !listed.containsKey(peer.facts.identity().host())) {
+      if (otherZone && !setEntryHosts.containsKey(peer.facts.identity().host())) {
         byZone
             .computeIfAbsent(peer.facts.zone(), name -> new ArrayList<>())
             .add(peer.facts.address());
@@ -195,7 +195,7 @@
    * Returns the living daemon of the zone with the lowest name, which sends heartbeats to other
    * zones.
    */
-  public HostIdentity speaker() {
+  public HostIdentity zoneLeader() {
     return peers.values().stream()
         .filter(peer -> !peer.suspected && peer.facts.zone().equals(zone))
         .map(peer -> peer.facts.identity())
@@ -216,7 +216,7 @@
    * Returns a living daemon with a newer table or host list, preferably of the own zone; empty if
    * there is none.
    */
-  public Optional<PeerFacts> ahead(long tablePosition, long listingVersion) {
+  public Optional<PeerFacts> newerPeer(long tablePosition, long listingVersion) {
     return peers.values().stream()
         .filter(peer -> !peer.suspected)
         .map(peer -> peer.facts)
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneDuties.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneTasks.java
@@ -8,11 +8,11 @@
  * daemon comes or goes, only its own tasks move. Two daemons with different views may both perform
  * a task for a while, so tasks must be idempotent.
  */
-public final class ZoneDuties {
+public final class ZoneTasks {
   private static final long MIX_ONE = 0xbf58476d1ce4e5b9L;
   private static final long MIX_TWO = 0x94d049bb133111ebL;
 
-  private ZoneDuties() {}
+  private ZoneTasks() {}
 
   /**
    * Returns whether a task is assigned to a host.
@@ -21,7 +21,7 @@
    * @param self the host
    * @param others the other living daemons of the zone
    */
-  public static boolean mine(String task, String self, Collection<String> others) {
+  public static boolean isOwner(String task, String self, Collection<String> others) {
     long ownWeight = weight(task, self);
     for (String other : others) {
       long weight = weight(task, other);
--- a/org.fawndrum/src/org/fawndrum/coordination/once/OnceLedger.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/CallRegistry.java
@@ -14,7 +14,7 @@
  * #RETENTION_MS} after their last change; callers must not repeat a call later than that. Confined
  * to one thread.
  */
-public final class OnceLedger {
+public final class CallRegistry {
   /** How long a key is kept, in milliseconds: a quarter of an hour. */
   public static final long RETENTION_MS = 900_000;
 
@@ -100,28 +100,28 @@
   }
 
   /** A key that a host hands over at its shutdown, and that other hosts must not run. */
-  public record Inherited(ClaimKey key, State state, long changedMs) {}
+  public record HandedOverKey(ClaimKey key, State state, long changedMs) {}
 
   /**
    * Returns the entries to hand over to other hosts at shutdown. Promises and keys that certainly
    * did not run are left out: this host will not run them any more.
    */
-  public List<Inherited> handover() {
-    List<Inherited> handed = new ArrayList<>();
+  public List<HandedOverKey> handover() {
+    List<HandedOverKey> handed = new ArrayList<>();
     entries.forEach(
         (key, entry) -> {
           boolean dispensable = entry.state() == State.NOT_RUN || entry.state() == State.PROMISED;
           if (!dispensable) {
             State state = entry.state() == State.RAN ? State.RAN : State.UNKNOWN;
-            handed.add(new Inherited(key, state, entry.changedMs()));
+            handed.add(new HandedOverKey(key, state, entry.changedMs()));
           }
         });
     return handed;
   }
 
   /** Adds the entries that another host hands over. */
-  void inherit(List<Inherited> handed) {
-    for (Inherited entry : handed) {
+  void inherit(List<HandedOverKey> handed) {
+    for (HandedOverKey entry : handed) {
       Entry existing = entries.get(entry.key());
       boolean runsOrRan =
           existing != null && (existing.state() == State.RUNNING || existing.state() == State.RAN);
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
@@ -23,8 +23,8 @@
 
   private static final long RETRY_MS = 1_000;
 
-  private final OnceLedger ledger = new OnceLedger();
-  private final ClaimMembers roster;
+  private final CallRegistry registry = new CallRegistry();
+  private final ClaimMembers members;
   private final Map<String, Claim> claims = new HashMap<>();
   private final List<ClaimAction> pendingActions = new ArrayList<>();
 
@@ -52,30 +52,30 @@
 
   /** Creates the coordinator of a host that has just started. */
   public ClaimCoordinator(HostIdentity self) {
-    this.roster = new ClaimMembers(self);
+    this.members = new ClaimMembers(self);
   }
 
   /** Returns the members, to be notified of registrations. */
-  public ClaimMembers roster() {
-    return roster;
+  public ClaimMembers members() {
+    return members;
   }
 
   /** Returns the call registry, for reading. */
-  public OnceLedger ledger() {
-    return ledger;
+  public CallRegistry registry() {
+    return registry;
   }
 
   /** Begins the claim of a request; returns the actions to carry out. */
   public List<ClaimAction> arrive(String requestId, ClaimKey key, Sending sending, long nowMs) {
-    if (!roster.selfRegistered()) {
+    if (!members.isSelfRegistered()) {
       Ran ran = sending == Sending.FIRST ? Ran.NO : Ran.UNKNOWN;
       return refuse(requestId, RefusalKind.NOT_REGISTERED, ran, RETRY_MS);
     }
-    Optional<OnceLedger.State> state = ledger.state(key);
+    Optional<CallRegistry.State> state = registry.state(key);
     if (state.isEmpty() && sending == Sending.FIRST) {
       return run(requestId, key, nowMs);
     }
-    if (state.isEmpty() || state.get() == OnceLedger.State.PROMISED) {
+    if (state.isEmpty() || state.get() == CallRegistry.State.PROMISED) {
       return startClaim(requestId, key, nowMs);
     }
     return switch (state.get()) {
@@ -87,13 +87,13 @@
   }
 
   private List<ClaimAction> run(String requestId, ClaimKey key, long nowMs) {
-    ledger.set(key, OnceLedger.State.RUNNING, nowMs);
+    registry.set(key, CallRegistry.State.RUNNING, nowMs);
     pendingActions.add(new ClaimAction.Run(requestId));
     return flush();
   }
 
   private List<ClaimAction> startClaim(String requestId, ClaimKey key, long nowMs) {
-    ledger.set(key, OnceLedger.State.CLAIMING, nowMs);
+    registry.set(key, CallRegistry.State.CLAIMING, nowMs);
     claims.put(requestId, new Claim(key, nowMs + ROUND_TIMEOUT_MS));
     pendingActions.add(new ClaimAction.ReadLogToEnd(requestId));
     return flush();
@@ -103,28 +103,28 @@
    * Called when a read of the log that began after the request arrived has been replayed to its
    * end: the members then include every host that may have run the call.
    */
-  public List<ClaimAction> logRead(String requestId, long nowMs) {
+  public List<ClaimAction> logReplayed(String requestId, long nowMs) {
     Claim claim = claims.get(requestId);
     if (claim == null || claim.round != null) {
       return flush();
     }
-    if (roster.isProofImpossible(nowMs)) {
+    if (members.isProofImpossible(nowMs)) {
       giveUp(requestId, claim, ClaimRound.Verdict.HELD, nowMs);
       return flush();
     }
-    List<ClaimMembers.Target> others = roster.others();
+    List<ClaimMembers.Target> others = members.others();
     claim.round =
         new ClaimRound(
             others.stream().map(ClaimMembers.Target::identity).collect(Collectors.toSet()));
     for (ClaimMembers.Target other : others) {
-      pendingActions.add(new ClaimAction.Ask(other.identity(), other.address(), claim.key));
+      pendingActions.add(new ClaimAction.QueryHost(other.identity(), other.address(), claim.key));
     }
     decide(requestId, claim, nowMs);
     return flush();
   }
 
   /** Records the answer of another host; returns the actions to carry out. */
-  public List<ClaimAction> answered(
+  public List<ClaimAction> receiveAnswer(
       HostIdentity from, ClaimKey key, ClaimAnswer answer, long nowMs) {
     for (Map.Entry<String, Claim> entry : List.copyOf(claims.entrySet())) {
       Claim claim = entry.getValue();
@@ -143,7 +143,7 @@
     }
     if (verdict == ClaimRound.Verdict.GRANTED) {
       claims.remove(requestId);
-      ledger.set(claim.key, OnceLedger.State.RUNNING, nowMs);
+      registry.set(claim.key, CallRegistry.State.RUNNING, nowMs);
       pendingActions.add(new ClaimAction.Run(requestId));
       return;
     }
@@ -154,7 +154,7 @@
     claims.remove(requestId);
     // Another host may have run the call, so this host must query all others again before it may
     // run it.
-    ledger.set(claim.key, OnceLedger.State.PROMISED, nowMs);
+    registry.set(claim.key, CallRegistry.State.PROMISED, nowMs);
     Refusal refusal =
         verdict == ClaimRound.Verdict.RAN
             ? Refusal.of(RefusalKind.ALREADY_RAN, Ran.YES, Refusal.NEVER)
@@ -168,18 +168,18 @@
   }
 
   /** Answers another host that asks whether it may run a call. */
-  public ClaimAnswer asked(ClaimKey key, long nowMs) {
-    return ledger.answerClaim(key, nowMs);
+  public ClaimAnswer answerClaim(ClaimKey key, long nowMs) {
+    return registry.answerClaim(key, nowMs);
   }
 
   /** Records the outcome of a call that ran here or was to run here. */
-  public void settled(ClaimKey key, Ran ran, long nowMs) {
-    ledger.recordOutcome(key, ran, nowMs);
+  public void recordOutcome(ClaimKey key, Ran ran, long nowMs) {
+    registry.recordOutcome(key, ran, nowMs);
   }
 
   /** Adds the keys that a host handed over at its shutdown. */
-  public void inherit(List<OnceLedger.Inherited> handed) {
-    ledger.inherit(handed);
+  public void inherit(List<CallRegistry.HandedOverKey> handed) {
+    registry.inherit(handed);
   }
 
   /** Fails claims whose answers did not come in time, and removes expired keys. */
@@ -189,7 +189,7 @@
         giveUp(entry.getKey(), entry.getValue(), ClaimRound.Verdict.HELD, nowMs);
       }
     }
-    ledger.removeExpired(nowMs);
+    registry.removeExpired(nowMs);
     return flush();
   }
 
@@ -211,6 +211,7 @@
     record ReadLogToEnd(String requestId) implements ClaimAction {}
 
     /** Query another host about a key. */
-    record Ask(HostIdentity identity, HostAddress address, ClaimKey key) implements ClaimAction {}
+    record QueryHost(HostIdentity identity, HostAddress address, ClaimKey key)
+        implements ClaimAction {}
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimMembers.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimMembers.java
@@ -21,7 +21,7 @@
   private final HostIdentity self;
   private final Map<HostIdentity, Member> members = new HashMap<>();
   private final Map<String, Long> latestIncarnations = new HashMap<>();
-  private final Set<HostIdentity> retired = new LinkedHashSet<>();
+  private final Set<HostIdentity> retire = new LinkedHashSet<>();
 
   /**
    * A registered incarnation; {@code goneMs} is when it was found to be gone, -1 while it is not.
@@ -47,9 +47,9 @@
    * Adds a registration from the log. Earlier incarnations of the same host count as gone from then
    * on.
    */
-  public void registered(HostIdentity identity, HostAddress address, long nowMs) {
+  public void register(HostIdentity identity, HostAddress address, long nowMs) {
     // An old snapshot may still contain a host that has retired since.
-    if (retired.contains(identity)) {
+    if (retire.contains(identity)) {
       return;
     }
     members.putIfAbsent(identity, new Member(address));
@@ -68,11 +68,11 @@
   }
 
   /** Removes an incarnation that handed its keys over and no longer runs calls. */
-  public void retired(HostIdentity identity) {
+  public void retire(HostIdentity identity) {
     members.remove(identity);
-    retired.add(identity);
-    if (retired.size() > MAX_RETIRED) {
-      retired.remove(retired.iterator().next());
+    retire.add(identity);
+    if (retire.size() > MAX_RETIRED) {
+      retire.remove(retire.iterator().next());
     }
   }
 
@@ -80,7 +80,7 @@
    * Marks a host as gone, because it is neither listed by the platform nor sends messages. It is
    * not queried any more once the retention time of keys is over.
    */
-  public void lost(HostIdentity identity, long nowMs) {
+  public void markLost(HostIdentity identity, long nowMs) {
     Member member = members.get(identity);
     if (member != null && member.goneMs < 0) {
       member.goneMs = nowMs;
@@ -88,7 +88,7 @@
   }
 
   /** Marks an incarnation as not gone, because a message of it was received. */
-  public void heard(HostIdentity identity) {
+  public void markAlive(HostIdentity identity) {
     Member member = members.get(identity);
     boolean replaced =
         identity.incarnation() < latestIncarnations.getOrDefault(identity.host(), Long.MIN_VALUE);
@@ -98,7 +98,7 @@
   }
 
   /** Returns whether this incarnation itself is registered. */
-  public boolean selfRegistered() {
+  public boolean isSelfRegistered() {
     return members.containsKey(self);
   }
 
@@ -114,7 +114,8 @@
   private void removeExpired(long nowMs) {
     members
         .values()
-        .removeIf(member -> member.goneMs >= 0 && nowMs - member.goneMs > OnceLedger.RETENTION_MS);
+        .removeIf(
+            member -> member.goneMs >= 0 && nowMs - member.goneMs > CallRegistry.RETENTION_MS);
   }
 
   /** Returns all other hosts that must answer before a call may run here. */
--- a/org.fawndrum/src/org/fawndrum/coordination/once/RegistrationBook.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/RegistrationTable.java
@@ -11,7 +11,7 @@
  * All registrations of the log that are still relevant, for snapshots: every host that may have run
  * a call that a caller could still repeat. Confined to one thread.
  */
-public final class RegistrationBook {
+public final class RegistrationTable {
   private final Map<HostIdentity, Entry> entries = new LinkedHashMap<>();
 
   /** A registration, and when it was replaced by a newer one of its host; -1 while it is not. */
@@ -46,7 +46,7 @@
     entries
         .values()
         .removeIf(
-            entry -> entry.replacedMs >= 0 && nowMs - entry.replacedMs > OnceLedger.RETENTION_MS);
+            entry -> entry.replacedMs >= 0 && nowMs - entry.replacedMs > CallRegistry.RETENTION_MS);
     List<Registration> members = new ArrayList<>();
     entries.values().forEach(entry -> members.add(entry.registration));
     return members;
--- a/org.fawndrum/src/org/fawndrum/internal/log/LogEvent.java
+++ b/org.fawndrum/src/org/fawndrum/internal/log/LogEvent.java
@@ -10,69 +10,70 @@
 public enum LogEvent {
   HOST_STARTED(1, Level.INFO, "host {0} started in availability zone {1}"),
   HOST_READY(2, Level.INFO, "ready: table revision {0}, {1} endpoints"),
-  DRAIN_BEGAN(
+  DRAIN_STARTED(
       3, Level.INFO, "drain started: {0} requests in progress; the stop signal may be {1} ms old"),
-  DRAIN_ENDED(4, Level.INFO, "drain completed: {0}"),
+  DRAIN_COMPLETED(4, Level.INFO, "drain completed: {0}"),
   SECOND_SIGNAL(5, Level.WARN, "second stop signal: aborting {0} requests in progress"),
   SETTINGS_UNCHANGED(6, Level.INFO, "settings reloaded; nothing changed"),
-  SETTINGS_CHANGED(
+  SETTINGS_RELOADED(
       7, Level.INFO, "settings reloaded; the settings that may change at run time are applied"),
-  SETTINGS_UNREADABLE(8, Level.WARN, "settings not loaded, keeping the current ones: {0}"),
+  SETTINGS_NOT_LOADED(8, Level.WARN, "settings not loaded, keeping the current ones: {0}"),
   HOST_STARTING(9, Level.INFO, "host {0} is starting; settings loaded"),
   DUTY_FAILED(10, Level.ERROR, "uncaught exception in duty {0}"),
-  RING_REFUSED(11, Level.WARN, "event ring of duty {0} is full; the event is offered again later"),
+  EVENT_RING_FULL(
+      11, Level.WARN, "event ring of duty {0} is full; the event is offered again later"),
   TABLE_IN_FORCE(20, Level.INFO, "table revision {0} in force"),
   LOG_GAP(
       21,
       Level.WARN,
       "log starts at offset {0}, after missing records; waiting for a snapshot from position {1} on"),
-  RECORD_PASSED_OVER(22, Level.WARN, "log record {0} is unreadable and was skipped"),
+  RECORD_SKIPPED(22, Level.WARN, "log record {0} is unreadable and was skipped"),
   SNAPSHOT_APPENDED(23, Level.INFO, "snapshot of position {0} appended at offset {1}"),
-  STORE_GAP(
+  STORE_RECORDS_EXPIRED(
       24,
       Level.WARN,
       "records of topic {0} from offset {1} on have expired; reading the newest record of each key"),
-  PLATFORM_LOST(30, Level.WARN, "platform unavailable: {0}"),
-  PLATFORM_BACK(31, Level.INFO, "platform available again"),
+  PLATFORM_UNAVAILABLE(30, Level.WARN, "platform unavailable: {0}"),
+  PLATFORM_AVAILABLE(31, Level.INFO, "platform available again"),
   PEER_ALIVE(40, Level.INFO, "peer {0} is alive"),
   PEER_SUSPECTED(41, Level.WARN, "peer {0} is suspected: no message for {1} ms"),
   PEER_MESSAGE_DROPPED(42, Level.WARN, "peer message dropped: {0}"),
-  PEER_GAVE_NOTHING(43, Level.INFO, "peer {0} provided no cached store state: {1}"),
-  SPEAKER_CHOSEN(44, Level.INFO, "peer {0} is now the leader of zone {1}"),
+  PEER_STATE_UNAVAILABLE(43, Level.INFO, "peer {0} provided no cached store state: {1}"),
+  ZONE_LEADER_CHANGED(44, Level.INFO, "peer {0} is now the leader of zone {1}"),
   REQUEST_DECIDED(50, Level.DEBUG, "{0} {1} {2}"),
   REQUEST_REFUSED(51, Level.INFO, "request refused: {0}, ran: {1}"),
   ATTEMPT_FAILED(52, Level.WARN, "attempt {0} on endpoint {1} failed"),
-  MEMORY_ORDER_FAILED(54, Level.WARN, "memory request for ticket {0} failed: {1}"),
+  MEMORY_REQUEST_FAILED(54, Level.WARN, "memory request for ticket {0} failed: {1}"),
   DECISION(55, Level.INFO, "{0}"),
-  TURNED_AWAY(56, Level.INFO, "{0}"),
-  LINES_LEFT_OUT(57, Level.WARN, "log lines suppressed: {0} about failures, {1} about successes"),
-  STREAM_ENDED(58, Level.INFO, "{0}"),
+  REJECTED_BEFORE_DECISION(56, Level.INFO, "{0}"),
+  LINES_SUPPRESSED(57, Level.WARN, "log lines suppressed: {0} about failures, {1} about successes"),
+  STREAM_COMPLETED(58, Level.INFO, "{0}"),
   ENGINE_SILENT(59, Level.WARN, "{0}"),
-  SWEPT(60, Level.INFO, "endpoint {0}: freed {1} orphaned streams of host {2}"),
-  REGISTERED(61, Level.INFO, "registered for requests that must not be repeated, as {0}"),
-  HANDED_OVER(62, Level.INFO, "{0} claims handed over to {1} peers"),
-  MEMORY_FREED(63, Level.INFO, "{0}"),
+  STREAMS_SWEPT(60, Level.INFO, "endpoint {0}: freed {1} orphaned streams of host {2}"),
+  HOST_REGISTERED(61, Level.INFO, "registered for requests that must not be repeated, as {0}"),
+  CLAIMS_HANDED_OVER(62, Level.INFO, "{0} claims handed over to {1} peers"),
+  MEMORY_RELEASED(63, Level.INFO, "{0}"),
   ENTRY_UNUSABLE(64, Level.WARN, "entry of endpoint {0} at offset {1} is unusable: {2}"),
   ENDPOINT_RESTARTED(65, Level.INFO, "endpoint {0} reported that it restarted"),
-  ENDPOINT_ENDED(66, Level.WARN, "{0}"),
-  REQUEST_ENDS_ENDPOINTS(
+  ENDPOINT_CRASHED(66, Level.WARN, "{0}"),
+  REQUEST_CRASHES_ENDPOINTS(
       67, Level.WARN, "request {0} rejected: endpoints crashed while they had it: {1}"),
   HOST_SUSPENDED(68, Level.WARN, "this host was suspended for {0} ms"),
-  REQUEST_LET_GO(69, Level.INFO, "request {0} released from quarantine by the settings"),
+  REJECTION_CLEARED(69, Level.INFO, "request {0} released from quarantine by the settings"),
   OPERATOR_PUBLISHED(70, Level.INFO, "operator {0} published {1}: {2}"),
   ENDPOINT_NOTICE(
       71, Level.INFO, "endpoint {0} sent a notice: shutting down: {1}, backoff: {2} ms"),
-  ENDPOINT_LEAVES(
+  ENDPOINT_DRAINING(
       72, Level.INFO, "endpoint {0} is shutting down and gets no more requests; reported by {1}"),
-  STORE_WENT_BACK(
+  STORE_RESTORED(
       73,
       Level.WARN,
       "topic {0} was restored from a copy: epoch {2} follows {1}; reading the newest records"),
-  START_UNCLEAR(
+  INCARNATION_UNCERTAIN(
       74,
       Level.INFO,
       "endpoint incarnation {0} may be the one that announced its shutdown; probing it before use"),
-  REQUEST_NOT_TURNED_AWAY(
+  REQUEST_NOT_REJECTED(
       75, Level.INFO, "request {0} not rejected although endpoints crashed while they had it: {1}");
 
   /** Added to a number before formatting, so that the id has four digits with leading zeros. */
--- a/org.fawndrum/src/org/fawndrum/internal/log/LineBudget.java
+++ b/org.fawndrum/src/org/fawndrum/internal/log/LogRateLimiter.java
@@ -5,7 +5,7 @@
  * Rate limiter for log lines of one kind: allows a maximum number of lines in each second and
  * counts the suppressed ones. Safe for all threads.
  */
-public final class LineBudget {
+public final class LogRateLimiter {
   private static final long MS_PER_SECOND = 1_000;
 
   private final int linesPerSecond;
@@ -14,12 +14,12 @@
   private long suppressed;
 
   /** Creates a limiter that allows {@code linesPerSecond} lines in each second of the clock. */
-  public LineBudget(int linesPerSecond) {
+  public LogRateLimiter(int linesPerSecond) {
     this.linesPerSecond = linesPerSecond;
   }
 
   /** Returns whether a line may be written now; a line that may not is counted as suppressed. */
-  public synchronized boolean take(long nowMs) {
+  public synchronized boolean tryAcquire(long nowMs) {
     long second = nowMs / MS_PER_SECOND;
     if (second != currentSecond) {
       currentSecond = second;
@@ -34,7 +34,7 @@
   }
 
   /** Returns the number of lines suppressed since the last call and resets it. */
-  public synchronized long takeLeftOut() {
+  public synchronized long takeSuppressed() {
     long count = suppressed;
     suppressed = 0;
     return count;
--- a/org.fawndrum/src/org/fawndrum/protocol/CrashCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/CrashCodec.java
@@ -3,13 +3,13 @@
 
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.crash.AnsweredRequest;
+import org.fawndrum.coordination.crash.CrashUpdate;
 import org.fawndrum.coordination.crash.EndpointCrash;
-import org.fawndrum.coordination.crash.RefusedRequest;
+import org.fawndrum.coordination.crash.ExecutionLease;
+import org.fawndrum.coordination.crash.InconclusiveRuns;
+import org.fawndrum.coordination.crash.RejectedRequest;
 import org.fawndrum.coordination.crash.RequestFingerprint;
-import org.fawndrum.coordination.crash.ServedRequest;
-import org.fawndrum.coordination.crash.SpentTurn;
-import org.fawndrum.coordination.crash.SuspectTurn;
 import org.fawndrum.protocol.wire.CrashRecord;
 import org.fawndrum.protocol.wire.CrashReport;
 import org.fawndrum.protocol.wire.Fingerprint;
@@ -30,39 +30,39 @@
    *
    * @param whole whether the updates are everything that this host knows
    */
-  public static CrashReport write(CrashNews updates, boolean whole, long nowMs) {
+  public static CrashReport write(CrashUpdate updates, boolean whole, long nowMs) {
     CrashReport.Builder report = CrashReport.newBuilder().setWhole(whole).setHops(updates.hops());
     for (EndpointCrash crash : updates.crashes()) {
       CrashRecord.Builder message =
           CrashRecord.newBuilder()
               .setEndpoint(crash.endpoint().host())
               .setEndpointIncarnation(crash.endpoint().incarnation())
-              .setTakenAgeMs(nowMs - crash.takenMs())
+              .setTakenAgeMs(nowMs - crash.lastSentMs())
               .setAgeMs(nowMs - crash.atMs());
-      crash.under().forEach(request -> message.addUnder(write(request)));
+      crash.requests().forEach(request -> message.addUnder(write(request)));
       report.addCrashes(message);
     }
-    for (ServedRequest served : updates.served()) {
+    for (AnsweredRequest served : updates.answered()) {
       report.addServed(
           ServedRecord.newBuilder()
               .setRequest(write(served.request()))
               .setAgeMs(nowMs - served.atMs()));
     }
-    for (RefusedRequest refused : updates.refused()) {
+    for (RejectedRequest refused : updates.rejected()) {
       report.addRefused(
           RefusedRecord.newBuilder()
               .setRequest(write(refused.request()))
               .setAgeMs(nowMs - refused.sinceMs())
               .addAllEndpoints(refused.endpoints()));
     }
-    for (SuspectTurn lease : updates.turns()) {
+    for (ExecutionLease lease : updates.leases()) {
       report.addTurns(leaseRecord(lease.request(), lease.host()).setAgeMs(nowMs - lease.atMs()));
     }
-    for (SpentTurn lease : updates.spent()) {
+    for (InconclusiveRuns lease : updates.inconclusiveRuns()) {
       report.addSpent(
           leaseRecord(lease.request(), lease.host())
-              .setAgeMs(nowMs - lease.atMs())
-              .setSpent(lease.turns()));
+              .setAgeMs(nowMs - lease.lastStartedMs())
+              .setSpent(lease.count()));
     }
     return report.build();
   }
@@ -83,13 +83,13 @@
   }
 
   /** Decodes updates; a time in the future is replaced by the current time. */
-  public static CrashNews read(CrashReport report, long nowMs) {
-    return new CrashNews(
+  public static CrashUpdate read(CrashReport report, long nowMs) {
+    return new CrashUpdate(
         report.getCrashesList().stream().map(message -> crash(message, nowMs)).toList(),
         report.getServedList().stream()
             .map(
                 message ->
-                    new ServedRequest(
+                    new AnsweredRequest(
                         read(message.getRequest()), timeOfAge(message.getAgeMs(), nowMs)))
             .toList(),
         report.getRefusedList().stream().map(message -> refused(message, nowMs)).toList(),
@@ -98,14 +98,15 @@
         report.getHops());
   }
 
-  private static SuspectTurn lease(TurnRecord message, long nowMs) {
+  private static ExecutionLease lease(TurnRecord message, long nowMs) {
     HostIdentity host = new HostIdentity(message.getHost(), message.getHostIncarnation());
-    return new SuspectTurn(read(message.getRequest()), host, timeOfAge(message.getAgeMs(), nowMs));
+    return new ExecutionLease(
+        read(message.getRequest()), host, timeOfAge(message.getAgeMs(), nowMs));
   }
 
-  private static SpentTurn spent(TurnRecord message, long nowMs) {
-    SuspectTurn lastLease = lease(message, nowMs);
-    return new SpentTurn(
+  private static InconclusiveRuns spent(TurnRecord message, long nowMs) {
+    ExecutionLease lastLease = lease(message, nowMs);
+    return new InconclusiveRuns(
         lastLease.request(), lastLease.host(), message.getSpent(), lastLease.atMs());
   }
 
@@ -121,8 +122,8 @@
         under);
   }
 
-  private static RefusedRequest refused(RefusedRecord message, long nowMs) {
-    return new RefusedRequest(
+  private static RejectedRequest refused(RefusedRecord message, long nowMs) {
+    return new RejectedRequest(
         read(message.getRequest()),
         timeOfAge(message.getAgeMs(), nowMs),
         message.getEndpointsList());
--- a/org.fawndrum/src/org/fawndrum/protocol/ErrorBodies.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/ErrorBodies.java
@@ -18,7 +18,7 @@
             refusal.kind().code(),
             refusal.cell().map(Object::toString).orElse(null),
             requestId,
-            refusal.ran().word(),
+            refusal.ran().wireName(),
             refusal.retryAfterMs() >= 0 ? refusal.retryAfterMs() : null));
   }
 
--- a/org.fawndrum/src/org/fawndrum/protocol/FleetCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/FleetCodec.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.fawndrum.coordination.engine.EngineJob;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetMember;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.protocol.wire.DaemonPlace;
@@ -14,7 +14,7 @@
 import org.fawndrum.protocol.wire.WorkReport;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 
 /** Converts the reports that daemons exchange about themselves and their work at endpoints. */
 public final class FleetCodec {
@@ -70,7 +70,7 @@
         WorkReport.newBuilder()
             .setSequence(report.sequence())
             .setAboutZone(report.zone())
-            .setWhole(report.whole());
+            .setWhole(report.complete());
     message.setDaemon(
         report
             .member()
@@ -81,18 +81,18 @@
                         .setHost(report.from().host())
                         .setIncarnation(report.from().incarnation())
                         .build()));
-    report.news().forEach(update -> write(message, update, nowMs));
+    report.updates().forEach(update -> write(message, update, nowMs));
     return message.build();
   }
 
-  private static void write(WorkReport.Builder message, EngineNews update, long nowMs) {
-    if (update instanceof EngineNews.Placed placed) {
+  private static void write(WorkReport.Builder message, EngineUpdate update, long nowMs) {
+    if (update instanceof EngineUpdate.Placed placed) {
       message.addPlaced(placed(placed.job(), nowMs));
-    } else if (update instanceof EngineNews.Read prefilled) {
+    } else if (update instanceof EngineUpdate.Prefilled prefilled) {
       message.addRead(prefilled.id());
-    } else if (update instanceof EngineNews.Ended failure && failure.failed()) {
+    } else if (update instanceof EngineUpdate.Completed failure && failure.failed()) {
       message.addFailed(failure.id());
-    } else if (update instanceof EngineNews.Ended ended) {
+    } else if (update instanceof EngineUpdate.Completed ended) {
       message.addEnded(ended.id());
     }
   }
@@ -104,23 +104,23 @@
         .setEndpointIncarnation(job.endpoint().incarnation())
         .setPromptTokens(job.promptTokens())
         .setMemoryTokens(job.memoryTokens())
-        .setParts(job.parts())
-        .setWrites(job.writes())
-        .setFirstTokenAimMs(job.aims().firstTokenMs())
-        .setPauseAimMs(job.aims().pauseMs())
+        .setParts(job.segments())
+        .setWrites(job.decodes())
+        .setFirstTokenAimMs(job.latencyTargets().firstTokenMs())
+        .setPauseAimMs(job.latencyTargets().pauseMs())
         .setAgeMs(nowMs - job.sentMs())
         .build();
   }
 
   /** Decodes a report; a placement precedes the updates that refer to it. */
   public static FleetReport read(WorkReport message, long nowMs) {
-    List<EngineNews> updates = new ArrayList<>();
+    List<EngineUpdate> updates = new ArrayList<>();
     for (WorkPlaced placement : message.getPlacedList()) {
-      updates.add(new EngineNews.Placed(job(placement, nowMs)));
+      updates.add(new EngineUpdate.Placed(job(placement, nowMs)));
     }
-    message.getReadList().forEach(id -> updates.add(new EngineNews.Read(id)));
-    message.getEndedList().forEach(id -> updates.add(new EngineNews.Ended(id, false)));
-    message.getFailedList().forEach(id -> updates.add(new EngineNews.Ended(id, true)));
+    message.getReadList().forEach(id -> updates.add(new EngineUpdate.Prefilled(id)));
+    message.getEndedList().forEach(id -> updates.add(new EngineUpdate.Completed(id, false)));
+    message.getFailedList().forEach(id -> updates.add(new EngineUpdate.Completed(id, true)));
     Optional<FleetMember> member =
         message.getWhole() ? Optional.of(read(message.getDaemon())) : Optional.empty();
     return new FleetReport(
@@ -140,7 +140,7 @@
         placement.getMemoryTokens(),
         Math.max(1, placement.getParts()),
         placement.getWrites(),
-        new RequestAims(placement.getFirstTokenAimMs(), placement.getPauseAimMs(), 0),
+        new LatencyTargets(placement.getFirstTokenAimMs(), placement.getPauseAimMs(), 0),
         nowMs - Math.max(0, placement.getAgeMs()));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/protocol/HostListCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/HostListCodec.java
@@ -80,7 +80,7 @@
               endpoint.address().port(),
               endpoint.serves().stream().sorted().toList(),
               endpoint.memoryTokens(),
-              listing.leaving().contains(endpoint.identity())));
+              listing.drainingEndpoints().contains(endpoint.identity())));
     }
     return new HostList(listing.version(), hosts);
   }
--- a/org.fawndrum/src/org/fawndrum/protocol/KeyedPage.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/KeyedPage.java
@@ -8,9 +8,9 @@
  *
  * @param records the records in log order
  * @param end offset after the last record of the log
- * @param era the store's epoch, which these offsets belong to; 0 if the store does not report it
+ * @param epoch the store's epoch, which these offsets belong to; 0 if the store does not report it
  */
-public record KeyedPage(List<KeyedRecord> records, long end, long era) {
+public record KeyedPage(List<KeyedRecord> records, long end, long epoch) {
   /**
    * A record.
    *
@@ -20,7 +20,7 @@
    */
   public record KeyedRecord(long offset, String key, byte[] value) {
     /** Whether the record deletes its key. */
-    public boolean drops() {
+    public boolean isTombstone() {
       return value.length == 0;
     }
   }
@@ -37,11 +37,11 @@
 
   /** Returns the position after the last record of the log. */
   public StorePosition endPosition() {
-    return new StorePosition(era, end);
+    return new StorePosition(epoch, end);
   }
 
   /** Returns the position after a record of this page. */
-  public StorePosition after(KeyedRecord record) {
-    return new StorePosition(era, record.offset() + 1);
+  public StorePosition positionAfter(KeyedRecord record) {
+    return new StorePosition(epoch, record.offset() + 1);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/protocol/LoadDigest.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/LoadDigest.java
@@ -30,7 +30,7 @@
   private LoadDigest() {}
 
   /** Load of one endpoint as reported by a peer; the endpoint is identified by its name hash. */
-  public record Entry(int nameHash, LoadReport load, double freePart) {}
+  public record Entry(int nameHash, LoadReport load, double freeFraction) {}
 
   /** Returns the 24-bit hash of an endpoint's name; a collision costs time only. */
   public static int nameHash(String endpoint) {
--- a/org.fawndrum/src/org/fawndrum/protocol/LogCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/LogCodec.java
@@ -28,7 +28,7 @@
         PublicationRecord.newBuilder()
             .setId(publication.id())
             .setOperator(publication.operator())
-            .setEditedFrom(publication.editedFrom());
+            .setEditedFrom(publication.baseRevision());
     publication.changes().forEach(change -> record.addChanges(changeRecord(change)));
     return LogEntry.newBuilder().setPublication(record).build().toByteArray();
   }
--- a/org.fawndrum/src/org/fawndrum/protocol/OperatorViews.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/OperatorViews.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Locale;
 import org.fawndrum.coordination.Decision;
-import org.fawndrum.coordination.Reading;
-import org.fawndrum.coordination.crash.RefusedRequest;
+import org.fawndrum.coordination.Prefill;
+import org.fawndrum.coordination.crash.RejectedRequest;
 import org.fawndrum.protocol.OperatorMessages.CellView;
 import org.fawndrum.protocol.OperatorMessages.ChangeView;
 import org.fawndrum.protocol.OperatorMessages.DeciderView;
@@ -55,14 +55,14 @@
         decision.attempt(),
         decision.cell().map(CellKey::toString).orElse(null),
         decision.refusal().map(refusal -> refusal.kind().code()).orElse(null),
-        decision.refusal().map(refusal -> refusal.ran().word()).orElse(null),
+        decision.refusal().map(refusal -> refusal.ran().wireName()).orElse(null),
         decision.refusal().map(refusal -> refusal.retryAfterMs()).orElse(null),
         passedOver.isEmpty() ? null : passedOver,
-        decision.reading().map(OperatorViews::reading).orElse(null));
+        decision.prefill().map(OperatorViews::reading).orElse(null));
   }
 
-  private static ReadingView reading(Reading reading) {
-    Long tookMs = reading.tookMs() == Reading.NOT_YET ? null : reading.tookMs();
+  private static ReadingView reading(Prefill reading) {
+    Long tookMs = reading.tookMs() == Prefill.PENDING ? null : reading.tookMs();
     return new ReadingView(reading.engines(), reading.expectedMs(), tookMs);
   }
 
@@ -160,7 +160,7 @@
   }
 
   /** Converts the requests that are rejected because endpoints crashed while running them. */
-  public static RefusedListView refused(List<RefusedRequest> refused) {
+  public static RefusedListView refused(List<RejectedRequest> refused) {
     return new RefusedListView(
         refused.stream()
             .map(
--- a/org.fawndrum/src/org/fawndrum/protocol/PeerCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/PeerCodec.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.fawndrum.coordination.membership.PeerFacts;
+import org.fawndrum.coordination.once.CallRegistry;
 import org.fawndrum.coordination.once.ClaimAnswer;
 import org.fawndrum.coordination.once.ClaimKey;
-import org.fawndrum.coordination.once.OnceLedger;
 import org.fawndrum.errors.BadPeerFrameException;
 import org.fawndrum.errors.BadPeerFrameException.Fault;
 import org.fawndrum.protocol.wire.ClaimReply;
@@ -21,7 +21,7 @@
 /** Encodes and decodes the messages between daemons. */
 public final class PeerCodec {
   /** Maximum size of a message, in bytes; large enough for a snapshot of 10,000 rows. */
-  public static final int LARGEST = 16 << 20;
+  public static final int MAX_MESSAGE_BYTES = 16 << 20;
 
   private PeerCodec() {}
 
@@ -48,7 +48,7 @@
   }
 
   /** Returns a builder for a message of the given sender. */
-  public static PeerMessage.Builder from(HostIdentity sender) {
+  public static PeerMessage.Builder newMessage(HostIdentity sender) {
     return PeerMessage.newBuilder()
         .setFromHost(sender.host())
         .setFromIncarnation(sender.incarnation());
@@ -110,26 +110,28 @@
   }
 
   /** Encodes the claim keys of a stopping host; times are sent as ages, because clocks differ. */
-  public static LedgerHandover handover(List<OnceLedger.Inherited> entries, long nowMs) {
+  public static LedgerHandover handover(List<CallRegistry.HandedOverKey> entries, long nowMs) {
     LedgerHandover.Builder message = LedgerHandover.newBuilder();
-    for (OnceLedger.Inherited entry : entries) {
+    for (CallRegistry.HandedOverKey entry : entries) {
       message.addEntries(
           LedgerEntry.newBuilder()
               .setKey(entry.key().toString())
-              .setRan(entry.state() == OnceLedger.State.RAN)
+              .setRan(entry.state() == CallRegistry.State.RAN)
               .setAgeMs(nowMs - entry.changedMs()));
     }
     return message.build();
   }
 
   /** Decodes entries-over claim keys; skips entries with a malformed key. */
-  public static List<OnceLedger.Inherited> inherited(LedgerHandover message, long nowMs) {
-    List<OnceLedger.Inherited> entries = new ArrayList<>();
+  public static List<CallRegistry.HandedOverKey> handoverEntries(
+      LedgerHandover message, long nowMs) {
+    List<CallRegistry.HandedOverKey> entries = new ArrayList<>();
     for (LedgerEntry entry : message.getEntriesList()) {
       ClaimKey key = ClaimKey.parse(entry.getKey());
       if (key != null) {
-        OnceLedger.State state = entry.getRan() ? OnceLedger.State.RAN : OnceLedger.State.UNKNOWN;
-        entries.add(new OnceLedger.Inherited(key, state, nowMs - entry.getAgeMs()));
+        CallRegistry.State state =
+            entry.getRan() ? CallRegistry.State.RAN : CallRegistry.State.UNKNOWN;
+        entries.add(new CallRegistry.HandedOverKey(key, state, nowMs - entry.getAgeMs()));
       }
     }
     return entries;
--- a/org.fawndrum/src/org/fawndrum/protocol/PromptMeasure.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/PromptMeasure.java
@@ -3,7 +3,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.fawndrum.coordination.ExpectedFinishPlacement;
+import org.fawndrum.coordination.EarliestFirstTokenPlacement;
 
 /** Estimates the length of a prompt in tokens and hashes its leading blocks. */
 public final class PromptMeasure {
@@ -29,7 +29,7 @@
   public static List<Long> prefixes(String text) {
     List<Long> hashes = new ArrayList<>();
     long hash = FNV_OFFSET_BASIS;
-    int blockChars = (int) ExpectedFinishPlacement.BLOCK_TOKENS * CHARS_PER_TOKEN;
+    int blockChars = (int) EarliestFirstTokenPlacement.BLOCK_TOKENS * CHARS_PER_TOKEN;
     int blocks = Math.min(MAX_BLOCKS, text.length() / blockChars);
     for (int block = 0; block < blocks; block++) {
       for (int i = block * blockChars; i < (block + 1) * blockChars; i++) {
--- a/org.fawndrum/src/org/fawndrum/protocol/SnapshotCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/SnapshotCodec.java
@@ -20,8 +20,8 @@
 import org.fawndrum.state.Column;
 import org.fawndrum.state.PublicationOutcome;
 import org.fawndrum.state.Row;
-import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
+import org.fawndrum.state.TableRevisionBuilder;
 
 /** Encodes and decodes snapshots of tables. A digest detects truncated or mixed snapshots. */
 public final class SnapshotCodec {
@@ -54,7 +54,8 @@
     if (!digest(withoutDigest).equals(record.getDigest())) {
       throw new BadSnapshotException(record.getPosition());
     }
-    TableParts parts = new TableParts(record.getRevision(), record.getPosition());
+    TableRevisionBuilder parts =
+        new TableRevisionBuilder(record.getRevision(), record.getPosition());
     for (CellRecord cell : record.getCellsList()) {
       parts.cell(keyOf(cell, record.getPosition()), cellOf(cell));
     }
@@ -126,8 +127,8 @@
     } else if (outcome instanceof PublicationOutcome.Invalid invalid) {
       record.setKind(OutcomeRecord.Kind.INVALID);
       invalid.badCells().forEach(bad -> record.addBadCells(badCellRecord(bad)));
-    } else if (outcome instanceof PublicationOutcome.FromTheFuture future) {
-      record.setKind(OutcomeRecord.Kind.FROM_THE_FUTURE).setEditedFrom(future.editedFrom());
+    } else if (outcome instanceof PublicationOutcome.UnknownBaseRevision future) {
+      record.setKind(OutcomeRecord.Kind.FROM_THE_FUTURE).setEditedFrom(future.baseRevision());
     } else {
       record.setKind(OutcomeRecord.Kind.ACCEPTED);
     }
@@ -150,7 +151,8 @@
       case ACCEPTED -> new PublicationOutcome.Accepted(offset);
       case LOST -> new PublicationOutcome.Lost(offset, conflicts(record, position));
       case INVALID -> new PublicationOutcome.Invalid(offset, badCells(record, position));
-      case FROM_THE_FUTURE -> new PublicationOutcome.FromTheFuture(offset, record.getEditedFrom());
+      case FROM_THE_FUTURE ->
+          new PublicationOutcome.UnknownBaseRevision(offset, record.getEditedFrom());
       default -> throw new BadSnapshotException(position);
     };
   }
--- a/org.fawndrum/src/org/fawndrum/protocol/StorePosition.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/StorePosition.java
@@ -9,16 +9,16 @@
  * epoch, and every position of a later epoch comes after all positions of an earlier one.
  * Immutable.
  *
- * @param era number of times the store was restored; 0 if the store does not report it, -1 before
+ * @param epoch number of times the store was restored; 0 if the store does not report it, -1 before
  *     the first read
  * @param offset offset of a record, or the end of the log; -1 before the first read
  */
-public record StorePosition(long era, long offset) implements Comparable<StorePosition> {
+public record StorePosition(long epoch, long offset) implements Comparable<StorePosition> {
   /** Position before the first read. */
   public static final StorePosition NONE = new StorePosition(-1, -1);
 
   private static final Comparator<StorePosition> ORDER =
-      Comparator.comparingLong(StorePosition::era).thenComparingLong(StorePosition::offset);
+      Comparator.comparingLong(StorePosition::epoch).thenComparingLong(StorePosition::offset);
 
   @Override
   public int compareTo(StorePosition other) {
--- a/org.fawndrum/src/org/fawndrum/settings/SettingsNode.java
+++ b/org.fawndrum/src/org/fawndrum/settings/SettingsNode.java
@@ -13,7 +13,8 @@
 
 /**
  * An object of a settings file during validation. Each accessor records the key as known and adds a
- * fault if the value is invalid; {@link #finish} adds a fault for each key that was not read.
+ * fault if the value is invalid; {@link #reportUnknownKeys} adds a fault for each key that was not
+ * read.
  */
 public final class SettingsNode {
   private static final int MAX_SHOWN_CHARS = 60;
@@ -197,7 +198,7 @@
   }
 
   /** Adds a fault for each key that was not read. */
-  public void finish() {
+  public void reportUnknownKeys() {
     Iterator<String> names = node.fieldNames();
     while (names.hasNext()) {
       String name = names.next();
--- a/org.fawndrum/src/org/fawndrum/settings/ReadSettings.java
+++ b/org.fawndrum/src/org/fawndrum/settings/SettingsReader.java
@@ -13,7 +13,7 @@
 import org.fawndrum.state.HostAddress;
 
 /** Reads and validates a settings file. */
-public final class ReadSettings {
+public final class SettingsReader {
   private static final String NAME = "[A-Za-z0-9][A-Za-z0-9.-]{0,62}";
   private static final String NAME_REMEDY = "write a name of letters, digits, dots and hyphens";
   private static final int MAX_PORT = 65_535;
@@ -24,7 +24,7 @@
   private final List<SettingsFault> faults = new ArrayList<>();
 
   /** Creates a reader of the given file. */
-  public ReadSettings(Path file) {
+  public SettingsReader(Path file) {
     this.file = file;
   }
 
@@ -33,7 +33,7 @@
    *
    * @throws BadSettingsException if the settings are invalid; lists all errors
    */
-  public HostSettings call() {
+  public HostSettings read() {
     HostSettings settings = parse(new SettingsNode("", SettingsFile.tree(file), faults));
     if (!faults.isEmpty()) {
       throw new BadSettingsException(file.toString(), faults);
@@ -56,7 +56,7 @@
             limits(root),
             "json".equals(root.text("log", "json|text", "write \"json\" or \"text\"", "text")),
             root.flag("debug", false));
-    root.finish();
+    root.reportUnknownKeys();
     checkAddresses(root, settings);
     return settings;
   }
@@ -75,7 +75,7 @@
     HostAddress address = new HostAddress(node.ip("ip"), (int) node.number("port", 0, MAX_PORT));
     Optional<TlsSettings> tls =
         node.has("tls") ? Optional.of(tls(node.object("tls"))) : Optional.empty();
-    node.finish();
+    node.reportUnknownKeys();
     return new ListenSettings(address, tls);
   }
 
@@ -85,7 +85,7 @@
             readableFile(node, "certificate"),
             readableFile(node, "key"),
             node.has("trusted") ? readableFile(node, "trusted") : "");
-    node.finish();
+    node.reportUnknownKeys();
     return tls;
   }
 
@@ -99,7 +99,7 @@
 
   private HostAddress address(SettingsNode node) {
     HostAddress address = new HostAddress(node.ip("ip"), (int) node.number("port", 1, MAX_PORT));
-    node.finish();
+    node.reportUnknownKeys();
     return address;
   }
 
@@ -117,7 +117,7 @@
       if (!usedKeys.add(key)) {
         node.fault("key", "(not shown)", "give each group its own key");
       }
-      node.finish();
+      node.reportUnknownKeys();
       keys.add(new CallerKey(key, group));
     }
     return keys;
@@ -131,7 +131,7 @@
               node.secret("key", MIN_KEY_LENGTH),
               node.text("operator", NAME, NAME_REMEDY),
               node.flag("mayChange", false)));
-      node.finish();
+      node.reportUnknownKeys();
     }
     return keys;
   }
@@ -152,7 +152,7 @@
     if (Integer.bitCount(limits.ringEvents()) != 1) {
       node.fault("ringEvents", limits.ringEvents(), "write a power of two, such as 8192");
     }
-    node.finish();
+    node.reportUnknownKeys();
     return limits;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/state/Endpoint.java
+++ b/org.fawndrum/src/org/fawndrum/state/Endpoint.java
@@ -24,7 +24,7 @@
     long memoryTokens,
     Optional<EngineProfile> engine) {
   /** Incarnation of an endpoint that does not report its start time. */
-  public static final long START_NOT_TOLD = 0;
+  public static final long UNKNOWN_INCARNATION = 0;
 
   /** Makes a defensive copy of the served names. */
   public Endpoint {
@@ -53,13 +53,13 @@
   }
 
   /** Returns this endpoint with the kind, memory and performance of its service's profile. */
-  public Endpoint describedBy(ServiceProfile profile) {
+  public Endpoint withProfile(ServiceProfile profile) {
     long memory = profile.engine().map(EngineProfile::memoryTokens).orElse(0L);
     return new Endpoint(identity, zone, profile.kind(), address, serves, memory, profile.engine());
   }
 
   /** Returns this endpoint with the given incarnation. */
-  public Endpoint at(long incarnation) {
+  public Endpoint withIncarnation(long incarnation) {
     if (incarnation == incarnation()) {
       return this;
     }
