--- a/org.fawndrum/src/org/fawndrum/state/EngineProfile.java
+++ b/org.fawndrum/src/org/fawndrum/state/EngineProfile.java
@@ -7,14 +7,14 @@
  *
  * @param slots number of streams that one engine runs concurrently
  * @param memoryTokens cache memory of one engine, in tokens
- * @param stepsPerPass token steps in one iteration of the batch loop while any stream decodes
+ * @param stepsPerIteration token steps in one iteration of the batch loop while any stream decodes
  * @param stepMs duration of one token step, in milliseconds
  * @param stepMsPerStream time that each decoding stream adds to a step, in milliseconds
  * @param stepMsPerThousandTokens time that 1,000 tokens of a decoding stream's context add to a
  *     step, in milliseconds
- * @param readTokensPerMs prefill throughput, in prompt tokens per millisecond
- * @param readMsPerMillionPairs prefill time for a million pairs of a token and an earlier one, in
- *     milliseconds
+ * @param prefillTokensPerMs prefill throughput, in prompt tokens per millisecond
+ * @param prefillMsPerMillionPairs prefill time for a million pairs of a token and an earlier one,
+ *     in milliseconds
  * @param chunkTokens maximum number of prompt tokens prefilled in one step
  * @param hopMs time that each further engine adds to a step of a prompt on several engines, in
  *     milliseconds
@@ -22,21 +22,21 @@
 public record EngineProfile(
     int slots,
     long memoryTokens,
-    int stepsPerPass,
+    int stepsPerIteration,
     double stepMs,
     double stepMsPerStream,
     double stepMsPerThousandTokens,
-    double readTokensPerMs,
-    double readMsPerMillionPairs,
+    double prefillTokensPerMs,
+    double prefillMsPerMillionPairs,
     int chunkTokens,
     double hopMs) {
   private static final double ONE_MILLION = 1e6;
   private static final double ONE_THOUSAND = 1000.0;
 
   /** Returns the time that one engine needs to prefill a whole prompt, in milliseconds. */
-  public double readMs(long promptTokens) {
+  public double prefillMs(long promptTokens) {
     double pairs = promptTokens / 2.0 * promptTokens;
-    return promptTokens / readTokensPerMs + pairs / ONE_MILLION * readMsPerMillionPairs;
+    return promptTokens / prefillTokensPerMs + pairs / ONE_MILLION * prefillMsPerMillionPairs;
   }
 
   /**
@@ -45,9 +45,9 @@
    * @param streams number of decoding streams
    * @param contextTokens sum of their contexts, in tokens
    */
-  public double passMs(int streams, long contextTokens) {
+  public double iterationMs(int streams, long contextTokens) {
     double step =
         stepMs + streams * stepMsPerStream + contextTokens / ONE_THOUSAND * stepMsPerThousandTokens;
-    return stepsPerPass * step;
+    return stepsPerIteration * step;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/state/RequestAims.java
+++ b/org.fawndrum/src/org/fawndrum/state/LatencyTargets.java
@@ -7,17 +7,17 @@
  * @param firstTokenMs target for the time to the first token, or to the answer of a plain call, in
  *     milliseconds
  * @param pauseMs target for the longest pause between two events of a stream, in milliseconds
- * @param mostAttempts maximum number of endpoints that the request may be sent to
+ * @param maxAttempts maximum number of endpoints that the request may be sent to
  */
-public record RequestAims(long firstTokenMs, long pauseMs, int mostAttempts) {
+public record LatencyTargets(long firstTokenMs, long pauseMs, int maxAttempts) {
   /** No targets and no limit. */
-  public static final RequestAims NONE = new RequestAims(0, 0, 0);
+  public static final LatencyTargets NONE = new LatencyTargets(0, 0, 0);
 
   /** Returns these targets with the elapsed time, in milliseconds, deducted from the first one. */
-  public RequestAims after(long elapsedMs) {
+  public LatencyTargets remainingAfter(long elapsedMs) {
     boolean unchanged = firstTokenMs == 0 || elapsedMs <= 0;
     return unchanged
         ? this
-        : new RequestAims(Math.max(1, firstTokenMs - elapsedMs), pauseMs, mostAttempts);
+        : new LatencyTargets(Math.max(1, firstTokenMs - elapsedMs), pauseMs, maxAttempts);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/state/Publication.java
+++ b/org.fawndrum/src/org/fawndrum/state/Publication.java
@@ -8,10 +8,10 @@
  *
  * @param id unique id chosen by the publisher; a second record with the same id has no effect
  * @param operator the operator who publishes
- * @param editedFrom the table revision that the changes are based on
+ * @param baseRevision the table revision that the changes are based on
  * @param changes the changed cells only
  */
-public record Publication(String id, String operator, long editedFrom, List<CellChange> changes) {
+public record Publication(String id, String operator, long baseRevision, List<CellChange> changes) {
   /** Makes a defensive copy of the changes. */
   public Publication {
     changes = List.copyOf(changes);
--- a/org.fawndrum/src/org/fawndrum/state/PublicationOutcome.java
+++ b/org.fawndrum/src/org/fawndrum/state/PublicationOutcome.java
@@ -18,7 +18,7 @@
   record Invalid(long offset, List<BadCell> badCells) implements PublicationOutcome {}
 
   /** Its base revision is not older than its own log offset, so it cannot have been read. */
-  record FromTheFuture(long offset, long editedFrom) implements PublicationOutcome {}
+  record UnknownBaseRevision(long offset, long baseRevision) implements PublicationOutcome {}
 
   /** A cell that another publication changed first, with its current value. */
   record Conflict(CellKey key, Cell current) {}
--- a/org.fawndrum/src/org/fawndrum/state/ReplayPublication.java
+++ b/org.fawndrum/src/org/fawndrum/state/PublicationReplay.java
@@ -9,7 +9,7 @@
  * valid and none of its cells changed after its base revision. The result depends only on the
  * previous table and the record, so all hosts reach the same decision without consensus.
  */
-public final class ReplayPublication {
+public final class PublicationReplay {
   private final TableRevision before;
   private final long offset;
   private final Publication publication;
@@ -21,7 +21,7 @@
    * @param offset the log offset of the record
    * @param publication the publication in the record
    */
-  public ReplayPublication(TableRevision before, long offset, Publication publication) {
+  public PublicationReplay(TableRevision before, long offset, Publication publication) {
     this.before = before;
     this.offset = offset;
     this.publication = publication;
@@ -31,18 +31,18 @@
    * Returns the table after the record. A record at or before the table's position has no effect; a
    * publication that already has an outcome changes only the position.
    */
-  public TableRevision call() {
+  public TableRevision apply() {
     if (offset <= before.position()) {
       return before;
     }
     if (before.outcome(publication.id()).isPresent()) {
-      return before.at(offset);
+      return before.withPosition(offset);
     }
     PublicationOutcome outcome = decide();
     TableRevision after =
         outcome instanceof PublicationOutcome.Accepted
             ? before.withChanges(publication, offset)
-            : before.at(offset);
+            : before.withPosition(offset);
     return after.withOutcome(publication.id(), outcome);
   }
 
@@ -51,8 +51,8 @@
     if (!badCells.isEmpty()) {
       return new PublicationOutcome.Invalid(offset, badCells);
     }
-    if (publication.editedFrom() >= offset) {
-      return new PublicationOutcome.FromTheFuture(offset, publication.editedFrom());
+    if (publication.baseRevision() >= offset) {
+      return new PublicationOutcome.UnknownBaseRevision(offset, publication.baseRevision());
     }
     List<PublicationOutcome.Conflict> conflicts = conflicts();
     if (!conflicts.isEmpty()) {
@@ -78,7 +78,7 @@
     for (CellChange change : publication.changes()) {
       Row row = before.rows().getOrDefault(change.key().group(), Row.EMPTY);
       row.cell(change.key().column())
-          .filter(cell -> cell.offset() > publication.editedFrom())
+          .filter(cell -> cell.offset() > publication.baseRevision())
           .ifPresent(cell -> conflicts.add(new PublicationOutcome.Conflict(change.key(), cell)));
     }
     return List.copyOf(conflicts);
--- a/org.fawndrum/src/org/fawndrum/state/Route.java
+++ b/org.fawndrum/src/org/fawndrum/state/Route.java
@@ -12,10 +12,10 @@
  * @param kind how often its requests may run
  * @param resumable whether a broken stream may resume at another endpoint
  * @param timeoutMs maximum duration of a request, in milliseconds
- * @param aims latency targets and attempt limit of its requests
+ * @param latencyTargets latency targets and attempt limit of its requests
  * @param rank urgency; 0 is the most urgent
- * @param open whether requests without a key are accepted
- * @param targets the services that its requests are distributed over, at least one
+ * @param allowsAnonymous whether requests without a key are accepted
+ * @param services the services that its requests are distributed over, at least one
  */
 public record Route(
     String name,
@@ -24,10 +24,10 @@
     RouteKind kind,
     boolean resumable,
     long timeoutMs,
-    RequestAims aims,
+    LatencyTargets latencyTargets,
     int rank,
-    boolean open,
-    List<WeightedService> targets) {
+    boolean allowsAnonymous,
+    List<WeightedService> services) {
   /**
    * A service with its weight within a route.
    *
@@ -38,7 +38,7 @@
 
   /** Makes a defensive copy of the services. */
   public Route {
-    targets = List.copyOf(targets);
+    services = List.copyOf(services);
   }
 
   /** Whether a request may be retried after an unknown outcome. */
@@ -52,14 +52,14 @@
    * @param draw uniform random number in [0, 1)
    */
   public String service(double draw) {
-    double sum = targets.stream().mapToInt(WeightedService::weight).sum();
+    double sum = services.stream().mapToInt(WeightedService::weight).sum();
     double left = draw * sum;
-    for (WeightedService target : targets) {
+    for (WeightedService target : services) {
       left -= target.weight();
       if (left < 0) {
         return target.service();
       }
     }
-    return targets.get(targets.size() - 1).service();
+    return services.get(services.size() - 1).service();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/state/TableRevision.java
+++ b/org.fawndrum/src/org/fawndrum/state/TableRevision.java
@@ -72,7 +72,7 @@
   }
 
   /** Returns this table with its position moved to a record that does not change it. */
-  public TableRevision at(long offset) {
+  public TableRevision withPosition(long offset) {
     return new TableRevision(revision, offset, rows, outcomes);
   }
 
--- a/org.fawndrum/src/org/fawndrum/state/Workspace.java
+++ b/org.fawndrum/src/org/fawndrum/state/Workspace.java
@@ -12,5 +12,5 @@
  */
 public record Workspace(String name, OptionalInt rank) {
   /** Workspace of callers without a key, on routes that accept them. */
-  public static final Workspace ANYBODY = new Workspace("anybody", OptionalInt.empty());
+  public static final Workspace ANONYMOUS = new Workspace("anybody", OptionalInt.empty());
 }
--- a/org.fawndrum/src/org/fawndrum/transport/AttemptListener.java
+++ b/org.fawndrum/src/org/fawndrum/transport/AttemptListener.java
@@ -7,5 +7,5 @@
 /** Receives the events of attempts. Called on event loops; must not block. */
 public interface AttemptListener {
   /** Handles one event. The events of one attempt arrive in the order in which they occurred. */
-  void happened(AttemptId attempt, AttemptEvent event);
+  void onEvent(AttemptId attempt, AttemptEvent event);
 }
--- a/org.fawndrum/src/org/fawndrum/transport/CallerResponse.java
+++ b/org.fawndrum/src/org/fawndrum/transport/CallerResponse.java
@@ -33,7 +33,7 @@
         .setStatusCode(refusal.kind().status())
         .putHeader("content-type", "application/json")
         .putHeader("x-request-id", requestId)
-        .putHeader("x-fawndrum-ran", refusal.ran().word());
+        .putHeader("x-fawndrum-ran", refusal.ran().wireName());
     if (refusal.kind() == RefusalKind.DRAINING) {
       // Makes the caller reconnect, and a retry reach another host.
       response.putHeader("connection", "close");
--- a/org.fawndrum/src/org/fawndrum/transport/CallerServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/CallerServer.java
@@ -113,13 +113,13 @@
   }
 
   private void invalid(HttpServerRequest request) {
-    RefusalKind kind = UnreadableHead.kind(request);
+    RefusalKind kind = MalformedRequestHead.refusalKind(request);
     CallerResponse.refuseAndClose(request, ids.next(), Refusal.notRun(kind));
   }
 
   private void handle(HttpServerRequest request) {
-    idleConnections.began(request.connection());
-    request.response().endHandler(v -> idleConnections.ended(request.connection()));
+    idleConnections.requestStarted(request.connection());
+    request.response().endHandler(v -> idleConnections.requestCompleted(request.connection()));
     String requestId = ids.next();
     Optional<CallerKey> key = keys.owner(request.getHeader("authorization"));
     if (key.isEmpty()) {
--- a/org.fawndrum/src/org/fawndrum/transport/ChatExchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ChatExchange.java
@@ -53,20 +53,20 @@
   }
 
   @Override
-  public void onLoop(Runnable step) {
+  public void runOnLoop(Runnable step) {
     context.runOnContext(v -> step.run());
   }
 
   @Override
   public void send(Action.Send send) {
     if (completed) {
-      attempts.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
+      attempts.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
     current = send;
     firstTokenReported = false;
     assembler.begin(send.attempt());
-    requestSent = everHandedOver();
+    requestSent = anyRequestSent();
     stream = engines.stream(this);
     stream.start(send.endpoint().address(), order(send));
   }
@@ -118,12 +118,12 @@
       writer.write(ready);
       pauseIfFull();
     }
-    if (result == AnswerAssembler.Result.WHOLE) {
+    if (result == AnswerAssembler.Result.COMPLETE) {
       completed = true;
       stream.end();
-      attempts.happened(current.attempt(), AttemptEvent.ANSWERED);
+      attempts.onEvent(current.attempt(), AttemptEvent.ANSWERED);
       writer.end(assembler.position());
-    } else if (result == AnswerAssembler.Result.CUT) {
+    } else if (result == AnswerAssembler.Result.TRUNCATED) {
       abortAttempt();
     }
   }
@@ -131,7 +131,7 @@
   private void reportFirstToken() {
     if (!firstTokenReported) {
       firstTokenReported = true;
-      attempts.happened(current.attempt(), AttemptEvent.ANSWERING);
+      attempts.onEvent(current.attempt(), AttemptEvent.ANSWERING);
     }
   }
 
@@ -153,7 +153,7 @@
     AttemptId attempt = current.attempt();
     stream.end();
     assembler.abandon();
-    attempts.happened(attempt, event);
+    attempts.onEvent(attempt, event);
   }
 
   @Override
@@ -183,7 +183,7 @@
   }
 
   @Override
-  public boolean everHandedOver() {
+  public boolean anyRequestSent() {
     return requestSent || stream != null && stream.requestSent();
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/ClaimHandler.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ClaimHandler.java
@@ -8,11 +8,11 @@
 import org.fawndrum.coordination.Ran;
 import org.fawndrum.coordination.Refusal;
 import org.fawndrum.coordination.RequestFacts;
+import org.fawndrum.coordination.once.CallRegistry;
 import org.fawndrum.coordination.once.ClaimAnswer;
 import org.fawndrum.coordination.once.ClaimCoordinator;
 import org.fawndrum.coordination.once.ClaimCoordinator.ClaimAction;
 import org.fawndrum.coordination.once.ClaimKey;
-import org.fawndrum.coordination.once.OnceLedger;
 import org.fawndrum.coordination.once.Registration;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
@@ -58,7 +58,7 @@
   }
 
   boolean registered() {
-    return claims.roster().selfRegistered();
+    return claims.members().isSelfRegistered();
   }
 
   void arrived(RequestFacts facts, HostEvent.ClaimInfo claim, long nowMs) {
@@ -84,52 +84,52 @@
   }
 
   void logRead(String requestId, long nowMs) {
-    carryOut(claims.logRead(requestId, nowMs));
+    carryOut(claims.logReplayed(requestId, nowMs));
   }
 
   void claimAnswered(HostEvent.ClaimAnswered event, long nowMs) {
-    carryOut(claims.answered(event.from(), event.key(), event.answer(), nowMs));
+    carryOut(claims.receiveAnswer(event.from(), event.key(), event.answer(), nowMs));
   }
 
   void claimRequested(HostEvent.ClaimRequested event, long nowMs) {
-    event.reply().accept(claims.asked(event.key(), nowMs));
+    event.reply().accept(claims.answerClaim(event.key(), nowMs));
   }
 
   void registered(Registration registration, long nowMs) {
     if (registration.retired()) {
-      claims.roster().retired(registration.identity());
+      claims.members().retire(registration.identity());
     } else {
-      claims.roster().registered(registration.identity(), registration.peerAddress(), nowMs);
+      claims.members().register(registration.identity(), registration.peerAddress(), nowMs);
     }
   }
 
   void peerSeen(HostIdentity identity) {
-    claims.roster().heard(identity);
+    claims.members().markAlive(identity);
   }
 
   void peerLost(HostIdentity identity, long nowMs) {
-    claims.roster().lost(identity, nowMs);
+    claims.members().markLost(identity, nowMs);
   }
 
-  void inherit(List<OnceLedger.Inherited> handedOver) {
+  void inherit(List<CallRegistry.HandedOverKey> handedOver) {
     claims.inherit(handedOver);
   }
 
-  List<OnceLedger.Inherited> handover() {
-    return claims.ledger().handover();
+  List<CallRegistry.HandedOverKey> handover() {
+    return claims.registry().handover();
   }
 
   /** Called when a request has its final answer; has no effect for a request without a claim. */
   void requestCompleted(String requestId, Ran ran, long nowMs) {
     ClaimKey key = running.remove(requestId);
     if (key != null) {
-      claims.settled(key, ran, nowMs);
+      claims.recordOutcome(key, ran, nowMs);
     }
   }
 
   private void run(PendingCall call) {
     if (call.callerGone()) {
-      claims.settled(call.key(), Ran.NO, environment.nowMs());
+      claims.recordOutcome(call.key(), Ran.NO, environment.nowMs());
       return;
     }
     running.put(call.facts().requestId(), call.key());
@@ -146,7 +146,7 @@
         environment
             .readLogToEnd()
             .thenRun(() -> environment.enqueue(new HostEvent.LogReadForClaim(read.requestId())));
-      } else if (action instanceof ClaimAction.Ask ask) {
+      } else if (action instanceof ClaimAction.QueryHost ask) {
         environment
             .requestClaim(ask.identity(), ask.address(), ask.key())
             .thenAccept(
--- a/org.fawndrum/src/org/fawndrum/transport/DecisionDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/DecisionDuty.java
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 import org.fawndrum.coordination.Action;
 import org.fawndrum.coordination.Decision;
-import org.fawndrum.coordination.EndpointRoster;
-import org.fawndrum.coordination.LimitParts;
+import org.fawndrum.coordination.EndpointEligibility;
+import org.fawndrum.coordination.LimitFractions;
 import org.fawndrum.coordination.LoadReport;
 import org.fawndrum.coordination.Ran;
 import org.fawndrum.coordination.Refusal;
 import org.fawndrum.coordination.RequestCoordinator;
 import org.fawndrum.coordination.RequestFacts;
-import org.fawndrum.coordination.StopWindow;
+import org.fawndrum.coordination.ShutdownWindow;
 import org.fawndrum.coordination.once.ClaimAnswer;
 import org.fawndrum.coordination.once.ClaimKey;
 import org.fawndrum.internal.duty.Duty;
@@ -37,7 +37,7 @@
   private final RequestCoordinator coordinator;
   private final HostIdentity self;
   private final String zone;
-  private final EndpointRoster roster = new EndpointRoster();
+  private final EndpointEligibility roster = new EndpointEligibility();
   private final HostClock clock;
   private final Consumer<HostIdentity> drainingListener;
   private final ClaimHandler claims;
@@ -182,16 +182,16 @@
 
   private void refreshView() {
     View before = view;
-    int open = coordinator.open() + claims.waiting();
+    int open = coordinator.openCount() + claims.waiting();
     boolean same =
         before.open() == open
-            && before.waiting() == coordinator.waiting()
+            && before.waiting() == coordinator.waitingCount()
             && before.registered() == claims.registered();
     if (!same) {
       view =
           new View(
               open,
-              coordinator.waiting(),
+              coordinator.waitingCount(),
               claims.registered(),
               before.endpoints(),
               before.draining());
@@ -203,13 +203,13 @@
     if (event instanceof HostEvent.RequestArrived arrived) {
       arrived(arrived, nowMs);
     } else if (event instanceof HostEvent.AttemptUpdated attempted) {
-      carryOut(coordinator.attempt(attempted.attempt(), attempted.event(), nowMs));
+      carryOut(coordinator.attemptEvent(attempted.attempt(), attempted.event(), nowMs));
       forgetIfEnded(attempted.attempt().requestId());
     } else if (event instanceof HostEvent.CallerDisconnected gone) {
       claims.callerGone(gone.requestId());
       carryOut(coordinator.callerGone(gone.requestId(), nowMs));
     } else if (event instanceof HostEvent.TableChanged changed) {
-      carryOut(coordinator.table(changed.table(), nowMs));
+      carryOut(coordinator.updateTable(changed.table(), nowMs));
     } else if (event instanceof HostEvent.HostsListed listed) {
       listed(listed, nowMs);
     } else if (event instanceof HostEvent.LoadReported loaded) {
@@ -217,11 +217,11 @@
     } else if (event instanceof HostEvent.PeerLoadsReported reported) {
       reported.loads().forEach(entry -> peerLoadReported(entry, nowMs));
     } else if (event instanceof HostEvent.EndpointDraining draining) {
-      if (roster.saidLeaving(draining.endpoint())) {
+      if (roster.markDraining(draining.endpoint())) {
         offerEndpoints(nowMs);
       }
     } else if (event instanceof HostEvent.DrainRequested) {
-      coordinator.stop(StopWindow.CLOSED);
+      coordinator.beginShutdown(ShutdownWindow.CLOSED);
     } else {
       handleClaim(event, nowMs);
     }
@@ -265,8 +265,10 @@
   }
 
   private void listed(HostEvent.HostsListed listed, long nowMs) {
-    if (roster.listed(listed.listing())) {
-      carryOut(coordinator.limitPart(LimitParts.part(self, zone, listed.listing()), nowMs));
+    if (roster.updateListing(listed.listing())) {
+      carryOut(
+          coordinator.updateLimitFraction(
+              LimitFractions.fraction(self, zone, listed.listing()), nowMs));
       offerEndpoints(nowMs);
     }
   }
@@ -274,15 +276,15 @@
   private void loaded(HostEvent.LoadReported loaded, long nowMs) {
     Load load = loaded.load();
     HostIdentity identity = new HostIdentity(load.host(), load.incarnation());
-    boolean changed = roster.answered(identity);
-    if (load.leaving() && roster.saidLeaving(identity)) {
+    boolean changed = roster.incarnationAnswered(identity);
+    if (load.leaving() && roster.markDraining(identity)) {
       drainingListener.accept(identity);
       changed = true;
     }
     if (changed) {
       offerEndpoints(nowMs);
     }
-    carryOut(coordinator.load(identity, load.report(), nowMs));
+    carryOut(coordinator.loadReported(identity, load.report(), nowMs));
   }
 
   private void peerLoadReported(LoadDigest.Entry entry, long nowMs) {
@@ -294,25 +296,25 @@
         new LoadReport(
             0,
             entry.load().backlogTokens(),
-            (long) (entry.freePart() * endpoint.memoryTokens()),
+            (long) (entry.freeFraction() * endpoint.memoryTokens()),
             0,
             entry.load().tokensPerSecond());
-    carryOut(coordinator.loadTold(endpoint.identity(), load, nowMs));
+    carryOut(coordinator.peerLoadReported(endpoint.identity(), load, nowMs));
   }
 
   private void offerEndpoints(long nowMs) {
-    List<Endpoint> open = roster.open();
+    List<Endpoint> open = roster.eligible();
     byNameHash.clear();
     open.forEach(endpoint -> byNameHash.put(LoadDigest.nameHash(endpoint.name()), endpoint));
-    carryOut(coordinator.endpoints(open, nowMs));
-    carryOut(coordinator.restarted(roster::isOver, nowMs));
+    carryOut(coordinator.updateEndpoints(open, nowMs));
+    carryOut(coordinator.endpointsRestarted(roster::isSuperseded, nowMs));
     view =
         new View(
-            coordinator.open() + claims.waiting(),
-            coordinator.waiting(),
+            coordinator.openCount() + claims.waiting(),
+            coordinator.waitingCount(),
             claims.registered(),
             open,
-            List.copyOf(roster.leaving()));
+            List.copyOf(roster.draining()));
   }
 
   private void carryOut(List<Action> actions) {
--- a/org.fawndrum/src/org/fawndrum/transport/DecisionFeed.java
+++ b/org.fawndrum/src/org/fawndrum/transport/DecisionFeed.java
@@ -87,7 +87,7 @@
         story.add(view);
       }
     }
-    metrics.decided(decision);
+    metrics.onDecision(decision);
     if (decision.kind() == DecisionKind.REFUSED) {
       log.request(decision.requestId(), LogEvent.REQUEST_REFUSED, view.refusal(), view.ran());
     } else {
--- a/org.fawndrum/src/org/fawndrum/transport/EnginePollShare.java
+++ b/org.fawndrum/src/org/fawndrum/transport/EnginePollShare.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.Supplier;
 import org.fawndrum.coordination.membership.PeerFacts;
-import org.fawndrum.coordination.membership.ZoneDuties;
+import org.fawndrum.coordination.membership.ZoneTasks;
 import org.fawndrum.state.Endpoint;
 import org.fawndrum.state.EndpointKind;
 
@@ -39,7 +39,7 @@
     return endpoints.stream()
         .filter(EnginePollShare::isEngine)
         .filter(endpoint -> endpoint.zone().equals(zone))
-        .filter(endpoint -> ZoneDuties.mine(endpoint.name(), self, others))
+        .filter(endpoint -> ZoneTasks.isOwner(endpoint.name(), self, others))
         .toList();
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/EntryHostRuntime.java
+++ b/org.fawndrum/src/org/fawndrum/transport/EntryHostRuntime.java
@@ -11,7 +11,7 @@
 import org.fawndrum.coordination.AttemptId;
 import org.fawndrum.coordination.Policies;
 import org.fawndrum.coordination.RequestCoordinator;
-import org.fawndrum.coordination.SnapshotTurn;
+import org.fawndrum.coordination.SnapshotSchedule;
 import org.fawndrum.coordination.membership.MembershipSettings;
 import org.fawndrum.coordination.membership.PeerFacts;
 import org.fawndrum.coordination.membership.ZoneMembership;
@@ -187,7 +187,7 @@
   /** Offers an event of accepted work, which must not be lost, again until the ring has space. */
   private void offerWithRetry(HostEvent event) {
     if (!decisions.offer(event)) {
-      log.event(LogEvent.RING_REFUSED, "decisions");
+      log.event(LogEvent.EVENT_RING_FULL, "decisions");
       vertx.setTimer(RETRY_MS, id -> offerWithRetry(event));
     }
   }
@@ -212,7 +212,7 @@
 
   private int snapshotRank(long lastSnapshot) {
     List<String> names = listing.entryHosts().stream().map(EntryHost::name).sorted().toList();
-    return SnapshotTurn.rank(self.host(), names, lastSnapshot);
+    return SnapshotSchedule.rank(self.host(), names, lastSnapshot);
   }
 
   /**
@@ -226,7 +226,7 @@
     boolean own = registration.identity().equals(self) && !registration.retired();
     if (own) {
       callers.registered();
-      log.event(LogEvent.REGISTERED, self);
+      log.event(LogEvent.HOST_REGISTERED, self);
     }
   }
 
@@ -271,8 +271,10 @@
             .setIncarnation(endpoint.incarnation())
             .build();
     PeerMessage notice =
-        PeerCodec.from(self).setLeavingNews(LeavingNews.newBuilder().addEndpoints(start)).build();
-    members.peers().forEach(peer -> network.tell(peer.facts().address(), notice));
+        PeerCodec.newMessage(self)
+            .setLeavingNews(LeavingNews.newBuilder().addEndpoints(start))
+            .build();
+    members.peers().forEach(peer -> network.send(peer.facts().address(), notice));
   }
 
   /** Access to the log and the other daemons for claims. */
@@ -287,7 +289,7 @@
         HostIdentity identity, HostAddress address, ClaimKey key) {
       ClaimRequest request = ClaimRequest.newBuilder().setKey(key.toString()).build();
       return network
-          .ask(address, PeerCodec.from(self).setClaimRequest(request))
+          .request(address, PeerCodec.newMessage(self).setClaimRequest(request))
           .thenApply(
               reply ->
                   // Another incarnation at this address has no record of the earlier one's keys.
@@ -332,7 +334,7 @@
   public CompletableFuture<Void> drain() {
     if (!draining) {
       draining = true;
-      log.event(LogEvent.DRAIN_BEGAN, Integer.toString(decisions.view().open()), 0);
+      log.event(LogEvent.DRAIN_STARTED, Integer.toString(decisions.view().open()), 0);
       offerWithRetry(new HostEvent.DrainRequested());
       vertx.setPeriodic(DRAIN_CHECK_MS, this::checkDrained);
     }
@@ -347,7 +349,7 @@
     }
   }
 
-  private void retire(List<org.fawndrum.coordination.once.OnceLedger.Inherited> keys) {
+  private void retire(List<org.fawndrum.coordination.once.CallRegistry.HandedOverKey> keys) {
     new RetireHost(
             self,
             settings.zone(),
@@ -360,7 +362,7 @@
         .call(keys)
         .whenComplete(
             (handedOver, failure) -> {
-              log.event(LogEvent.DRAIN_ENDED, "no request was cut");
+              log.event(LogEvent.DRAIN_COMPLETED, "no request was cut");
               drained.complete(null);
             });
   }
--- a/org.fawndrum/src/org/fawndrum/transport/Exchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/Exchange.java
@@ -6,7 +6,7 @@
 
 /**
  * The I/O side of one request. Confined to the event loop of the caller's connection: all methods
- * but {@link #onLoop} must be called on that loop.
+ * but {@link #runOnLoop} must be called on that loop.
  */
 public interface Exchange {
   /** Sends the request to an endpoint. */
@@ -19,8 +19,8 @@
   void refuse(Refusal refusal);
 
   /** Runs {@code step} on the event loop of this exchange. May be called from any thread. */
-  void onLoop(Runnable step);
+  void runOnLoop(Runnable step);
 
   /** Returns whether any attempt may have sent part of the request. */
-  boolean everHandedOver();
+  boolean anyRequestSent();
 }
--- a/org.fawndrum/src/org/fawndrum/transport/HostEvent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/HostEvent.java
@@ -6,10 +6,10 @@
 import org.fawndrum.coordination.AttemptEvent;
 import org.fawndrum.coordination.AttemptId;
 import org.fawndrum.coordination.RequestFacts;
+import org.fawndrum.coordination.once.CallRegistry;
 import org.fawndrum.coordination.once.ClaimAnswer;
 import org.fawndrum.coordination.once.ClaimCoordinator.Sending;
 import org.fawndrum.coordination.once.ClaimKey;
-import org.fawndrum.coordination.once.OnceLedger;
 import org.fawndrum.coordination.once.Registration;
 import org.fawndrum.protocol.EngineMessages.Load;
 import org.fawndrum.protocol.LoadDigest;
@@ -68,9 +68,9 @@
   record ClaimRequested(ClaimKey key, Consumer<ClaimAnswer> reply) implements HostEvent {}
 
   /** Another daemon is retiring and hands over its keys. */
-  record ClaimsHandedOver(List<OnceLedger.Inherited> claims, Runnable acknowledge)
+  record ClaimsHandedOver(List<CallRegistry.HandedOverKey> claims, Runnable acknowledge)
       implements HostEvent {}
 
   /** This daemon is retiring and its keys are requested for handover. */
-  record HandoverRequested(Consumer<List<OnceLedger.Inherited>> reply) implements HostEvent {}
+  record HandoverRequested(Consumer<List<CallRegistry.HandedOverKey>> reply) implements HostEvent {}
 }
--- a/org.fawndrum/src/org/fawndrum/transport/HostStatus.java
+++ b/org.fawndrum/src/org/fawndrum/transport/HostStatus.java
@@ -52,7 +52,7 @@
         self.host(),
         self.incarnation(),
         zone,
-        Versions.own(),
+        Versions.current(),
         draining ? (drained ? "drained" : "draining") : readiness(),
         follower.platformUp(),
         table.revision(),
@@ -79,7 +79,7 @@
         peer.alive() ? "alive" : "suspected",
         peer.facts().tableRevision(),
         peer.facts().draining(),
-        nowMs - peer.heardMs());
+        nowMs - peer.lastHeartbeatMs());
   }
 
   private String readiness() {
--- a/org.fawndrum/src/org/fawndrum/transport/IdleConnections.java
+++ b/org.fawndrum/src/org/fawndrum/transport/IdleConnections.java
@@ -42,12 +42,12 @@
   }
 
   /** Cancels the timeout of a connection on which a request was started. */
-  public void began(HttpConnection connection) {
+  public void requestStarted(HttpConnection connection) {
     cancel(connection);
   }
 
   /** Starts the idle timeout of a connection whose request was answered. */
-  public void ended(HttpConnection connection) {
+  public void requestCompleted(HttpConnection connection) {
     closeAfter(connection, keepAliveMs.getAsLong());
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/LogFollower.java
+++ b/org.fawndrum/src/org/fawndrum/transport/LogFollower.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
 import org.fawndrum.coordination.LogReplay;
-import org.fawndrum.coordination.SnapshotTurn;
+import org.fawndrum.coordination.SnapshotSchedule;
 import org.fawndrum.coordination.once.Registration;
-import org.fawndrum.coordination.once.RegistrationBook;
+import org.fawndrum.coordination.once.RegistrationTable;
 import org.fawndrum.errors.RecordsExpiredException;
 import org.fawndrum.internal.duty.StopThread;
 import org.fawndrum.internal.log.HostLog;
@@ -44,7 +44,7 @@
   private final LogRecordReader reader;
   private final Thread thread;
   private final LogReplay replay = new LogReplay();
-  private final RegistrationBook book = new RegistrationBook();
+  private final RegistrationTable book = new RegistrationTable();
   private final ConcurrentLinkedQueue<SnapshotRecord> peerSnapshots = new ConcurrentLinkedQueue<>();
   private final Map<CompletableFuture<Void>, Long> awaitedOffsets = new ConcurrentHashMap<>();
   private volatile boolean platformUp;
@@ -161,7 +161,7 @@
     while (!stopping) {
       adoptPeerSnapshots();
       try {
-        PlatformLog.Batch batch = platform.read(replay.next(), MAX_RECORDS_PER_READ).join();
+        PlatformLog.Batch batch = platform.read(replay.nextOffset(), MAX_RECORDS_PER_READ).join();
         replayBatch(batch);
         updatePlatformState(true, "");
         appendSnapshotIfDue();
@@ -190,16 +190,16 @@
 
   private void updatePlatformState(boolean up, String cause) {
     if (up && !platformUp) {
-      log.event(LogEvent.PLATFORM_BACK);
+      log.event(LogEvent.PLATFORM_AVAILABLE);
     } else if (!up && platformUp) {
-      log.event(LogEvent.PLATFORM_LOST, cause);
+      log.event(LogEvent.PLATFORM_UNAVAILABLE, cause);
     }
     platformUp = up;
   }
 
   private void replayBatch(PlatformLog.Batch batch) {
     boolean wasInGap = replay.inGap();
-    replay.logBegins(batch.first());
+    replay.logStartsAt(batch.first());
     if (replay.inGap() && !wasInGap) {
       String position = Long.toString(replay.table().position() + 1);
       log.event(LogEvent.LOG_GAP, Long.toString(batch.first()), position);
@@ -220,7 +220,7 @@
 
   private void publishProgress() {
     inGap = replay.inGap();
-    replayedTo = replay.next();
+    replayedTo = replay.nextOffset();
     if (replay.table().position() > latest.table().position()) {
       latest = new LatestTable(replay.table(), book.members(clock.nowMs()));
     }
@@ -231,8 +231,9 @@
     if (nowMs < nextSnapshotMs || replay.inGap() || replay.table().revision() < 0) {
       return;
     }
-    int rank = snapshotRank.apply(replay.lastSnapshot());
-    if (!SnapshotTurn.due(replay.sinceSnapshot(), nowMs - newestSnapshotSeenMs, rank)) {
+    int rank = snapshotRank.apply(replay.lastSnapshotPosition());
+    if (!SnapshotSchedule.isDue(
+        replay.recordsSinceSnapshot(), nowMs - newestSnapshotSeenMs, rank)) {
       return;
     }
     nextSnapshotMs = nowMs + SNAPSHOT_RETRY_MS;
--- a/org.fawndrum/src/org/fawndrum/transport/LogRecordReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/LogRecordReader.java
@@ -33,7 +33,7 @@
     try {
       return read(record.offset(), LogCodec.read(record.offset(), record.content()));
     } catch (RecordUnreadableException | BadSnapshotException e) {
-      log.failure(LogEvent.RECORD_PASSED_OVER, e, Long.toString(record.offset()));
+      log.failure(LogEvent.RECORD_SKIPPED, e, Long.toString(record.offset()));
       return DecodedRecord.withoutEffect(record.offset());
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/UnreadableHead.java
+++ b/org.fawndrum/src/org/fawndrum/transport/MalformedRequestHead.java
@@ -7,11 +7,11 @@
 import org.fawndrum.coordination.RefusalKind;
 
 /** Classifies requests whose head the HTTP server could not parse. */
-public final class UnreadableHead {
-  private UnreadableHead() {}
+public final class MalformedRequestHead {
+  private MalformedRequestHead() {}
 
   /** Returns the refusal for a request with a decoder failure. */
-  public static RefusalKind kind(HttpServerRequest request) {
+  public static RefusalKind refusalKind(HttpServerRequest request) {
     Throwable cause = request.decoderResult().cause();
     boolean tooLarge =
         cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
--- a/org.fawndrum/src/org/fawndrum/transport/MemorySweep.java
+++ b/org.fawndrum/src/org/fawndrum/transport/MemorySweep.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 import org.fawndrum.coordination.SweepRule;
 import org.fawndrum.coordination.membership.PeerView;
-import org.fawndrum.coordination.membership.ZoneDuties;
+import org.fawndrum.coordination.membership.ZoneTasks;
 import org.fawndrum.internal.log.HostLog;
 import org.fawndrum.internal.log.LogEvent;
 import org.fawndrum.protocol.EngineMessages.Holding;
@@ -70,7 +70,7 @@
       boolean assigned =
           endpoint.kind() == EndpointKind.MODEL
               && endpoint.zone().equals(zone)
-              && ZoneDuties.mine(endpoint.name(), self.host(), others);
+              && ZoneTasks.isOwner(endpoint.name(), self.host(), others);
       if (assigned) {
         holdingsByEndpoint.put(
             endpoint, engines.read(endpoint, HttpMethod.GET, "/v1/holdings", "", Holdings.class));
@@ -116,11 +116,14 @@
         .thenAccept(
             swept ->
                 log.event(
-                    LogEvent.SWEPT, endpoint.name(), Integer.toString(swept.streams()), owner));
+                    LogEvent.STREAMS_SWEPT,
+                    endpoint.name(),
+                    Integer.toString(swept.streams()),
+                    owner));
   }
 
   /** The host list and the peer views of this host, as input of the {@link SweepRule}. */
-  private final class KnownHosts implements SweepRule.Known {
+  private final class KnownHosts implements SweepRule.OwnerStatus {
     private final Map<String, PeerView> byName = new HashMap<>();
     private final Set<String> listed = new HashSet<>();
 
--- a/org.fawndrum/src/org/fawndrum/transport/OpenExchanges.java
+++ b/org.fawndrum/src/org/fawndrum/transport/OpenExchanges.java
@@ -47,7 +47,7 @@
   public void carryOut(
       List<Action> actions, BiConsumer<String, Refusal> refused, boolean exchangeKnows) {
     for (Action action : actions) {
-      if (action instanceof Action.Explain explain) {
+      if (action instanceof Action.RecordDecision explain) {
         feed.accept(explain.decision());
       } else if (action instanceof Action.Send send) {
         onExchange(send.attempt().requestId(), exchange -> exchange.send(send));
@@ -64,14 +64,14 @@
 
   /** Narrows an unknown outcome to "did not run" if the exchange never sent the request. */
   private static void refuse(Exchange exchange, Refusal refusal, boolean exchangeKnows) {
-    boolean didNotRun = exchangeKnows && refusal.ran() == Ran.UNKNOWN && !exchange.everHandedOver();
-    exchange.refuse(didNotRun ? refusal.with(Ran.NO) : refusal);
+    boolean didNotRun = exchangeKnows && refusal.ran() == Ran.UNKNOWN && !exchange.anyRequestSent();
+    exchange.refuse(didNotRun ? refusal.withRan(Ran.NO) : refusal);
   }
 
   private void onExchange(String requestId, Consumer<Exchange> step) {
     Exchange exchange = exchanges.get(requestId);
     if (exchange != null) {
-      exchange.onLoop(() -> step.accept(exchange));
+      exchange.runOnLoop(() -> step.accept(exchange));
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/PeerDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PeerDuty.java
@@ -139,17 +139,19 @@
     } else if (event instanceof PeerEvent.HostsListed listed) {
       if (listed.listing().version() > listing.version()) {
         listing = listed.listing();
-        membership.listed(listing.entryHosts());
+        membership.setEntryHosts(listing.entryHosts());
       }
     } else if (event instanceof PeerEvent.CatchUpRequested requested) {
-      requested.reply().accept(PeerCodec.from(self).setCatchUpReply(reply(requested.request())));
+      requested
+          .reply()
+          .accept(PeerCodec.newMessage(self).setCatchUpReply(reply(requested.request())));
     } else if (event instanceof PeerEvent.CatchUpReceived received) {
       applyCatchUp(received.reply());
     }
   }
 
   private void heartbeatReceived(PeerFacts facts) {
-    ZoneMembership.Change change = membership.heard(facts, clock.nowMs());
+    ZoneMembership.Change change = membership.receive(facts, clock.nowMs());
     if (change == ZoneMembership.Change.ALIVE) {
       log.event(LogEvent.PEER_ALIVE, facts.identity());
     }
@@ -185,10 +187,10 @@
 
   private void tick() {
     long nowMs = clock.nowMs();
-    for (ZoneMembership.Changed changed : membership.suspects(nowMs)) {
+    for (ZoneMembership.Changed changed : membership.updateSuspects(nowMs)) {
       log.event(LogEvent.PEER_SUSPECTED, changed.identity(), Long.toString(changed.silentMs()));
     }
-    Set<HostAddress> due = membership.dueNow(nowMs);
+    Set<HostAddress> due = membership.dueHeartbeats(nowMs);
     if (!due.isEmpty()) {
       sendHeartbeats(due);
     }
@@ -200,8 +202,8 @@
   private void sendHeartbeats(Set<HostAddress> due) {
     Heartbeat.Builder heartbeat = PeerCodec.heartbeat(ownFacts.get());
     heartbeat.setLoadDigest(ByteString.copyFrom(holdings.loadDigest()));
-    PeerMessage message = PeerCodec.from(self).setHeartbeat(heartbeat).build();
-    due.forEach(to -> network.tell(to, message));
+    PeerMessage message = PeerCodec.newMessage(self).setHeartbeat(heartbeat).build();
+    due.forEach(to -> network.send(to, message));
   }
 
   private void catchUp(long nowMs) {
@@ -210,7 +212,7 @@
     }
     PeerFacts own = ownFacts.get();
     membership
-        .ahead(own.tablePosition(), own.listingVersion())
+        .newerPeer(own.tablePosition(), own.listingVersion())
         .ifPresent(
             peer -> {
               nextCatchUpMs = nowMs + CATCH_UP_RETRY_MS;
@@ -225,7 +227,7 @@
             .setListingAfterVersion(own.listingVersion())
             .build();
     network
-        .ask(from.address(), PeerCodec.from(self).setCatchUpRequest(request))
+        .request(from.address(), PeerCodec.newMessage(self).setCatchUpRequest(request))
         .thenAccept(reply -> offer(new PeerEvent.CatchUpReceived(reply.getCatchUpReply())));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/PeerMessageHandler.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PeerMessageHandler.java
@@ -42,7 +42,7 @@
       case LEDGER_HANDOVER ->
           decisions.accept(
               new HostEvent.ClaimsHandedOver(
-                  PeerCodec.inherited(message.getLedgerHandover(), clock.nowMs()),
+                  PeerCodec.handoverEntries(message.getLedgerHandover(), clock.nowMs()),
                   () -> reply.accept(acknowledgement())));
       case LEAVING_NEWS -> {
         for (EndpointStart start : message.getLeavingNews().getEndpointsList()) {
@@ -64,7 +64,7 @@
   }
 
   private PeerMessage.Builder acknowledgement() {
-    return PeerCodec.from(self).setAcknowledgement(Acknowledgement.getDefaultInstance());
+    return PeerCodec.newMessage(self).setAcknowledgement(Acknowledgement.getDefaultInstance());
   }
 
   private void claimRequested(PeerMessage message, Consumer<PeerMessage.Builder> reply) {
@@ -76,6 +76,7 @@
         new HostEvent.ClaimRequested(
             key,
             answer ->
-                reply.accept(PeerCodec.from(self).setClaimReply(PeerCodec.claimReply(answer)))));
+                reply.accept(
+                    PeerCodec.newMessage(self).setClaimReply(PeerCodec.claimReply(answer)))));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/PlainExchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PlainExchange.java
@@ -67,14 +67,14 @@
   }
 
   @Override
-  public void onLoop(Runnable step) {
+  public void runOnLoop(Runnable step) {
     context.runOnContext(v -> step.run());
   }
 
   @Override
   public void send(Action.Send send) {
     if (completed) {
-      attempts.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
+      attempts.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
     current = send;
@@ -88,12 +88,12 @@
         .request(options)
         .onComplete(
             connected ->
-                onLoop(
+                runOnLoop(
                     () -> {
                       if (connected.succeeded()) {
                         sendRequest(send, connected.result());
                       } else {
-                        attempts.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
+                        attempts.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
                       }
                     }));
   }
@@ -101,7 +101,7 @@
   private void sendRequest(Action.Send send, HttpClientRequest connected) {
     if (completed || send != current) {
       connected.reset();
-      attempts.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
+      attempts.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
     request = connected;
@@ -113,12 +113,12 @@
         .compose(answer -> answer.body().map(body -> new CompleteResponse(answer, body)))
         .onComplete(
             done ->
-                onLoop(
+                runOnLoop(
                     () -> {
                       if (done.succeeded()) {
                         handleResponse(send, done.result());
                       } else {
-                        attempts.happened(send.attempt(), AttemptEvent.LOST);
+                        attempts.onEvent(send.attempt(), AttemptEvent.LOST);
                       }
                     }));
   }
@@ -131,11 +131,11 @@
       return;
     }
     if ("no".equals(answer.head().getHeader(RAN_HEADER))) {
-      attempts.happened(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT);
+      attempts.onEvent(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT);
       return;
     }
     completed = true;
-    attempts.happened(send.attempt(), AttemptEvent.ANSWERED);
+    attempts.onEvent(send.attempt(), AttemptEvent.ANSWERED);
     if (response.closed()) {
       return;
     }
@@ -163,7 +163,7 @@
   }
 
   @Override
-  public boolean everHandedOver() {
+  public boolean anyRequestSent() {
     return requestSent;
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/PublishChanges.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PublishChanges.java
@@ -10,7 +10,7 @@
 import org.fawndrum.protocol.PlatformLog;
 import org.fawndrum.state.Publication;
 import org.fawndrum.state.PublicationOutcome;
-import org.fawndrum.state.ReplayPublication;
+import org.fawndrum.state.PublicationReplay;
 
 /**
  * Publishes changed cells: appends them to the log and waits for the outcome. Replaying the log
@@ -35,7 +35,7 @@
    * when the publication was not replayed within five seconds.
    */
   CompletableFuture<PublicationOutcome> call() {
-    List<PublicationOutcome.BadCell> bad = ReplayPublication.badCells(publication.changes());
+    List<PublicationOutcome.BadCell> bad = PublicationReplay.badCells(publication.changes());
     if (!bad.isEmpty()) {
       return CompletableFuture.failedFuture(new BadCellsException(bad));
     }
--- a/org.fawndrum/src/org/fawndrum/transport/RequestMetrics.java
+++ b/org.fawndrum/src/org/fawndrum/transport/RequestMetrics.java
@@ -13,7 +13,7 @@
 import org.HdrHistogram.Recorder;
 import org.fawndrum.coordination.Decision;
 import org.fawndrum.coordination.DecisionKind;
-import org.fawndrum.coordination.Reading;
+import org.fawndrum.coordination.Prefill;
 import org.fawndrum.coordination.RequestFacts;
 import org.mpierce.metrics.reservoir.hdrhistogram.HdrHistogramResetOnSnapshotReservoir;
 
@@ -87,7 +87,7 @@
   }
 
   /** Records a decision in the histograms and counters. */
-  public void decided(Decision decision) {
+  public void onDecision(Decision decision) {
     String workspace = decision.group().workspace();
     long tokens = decision.promptTokens();
     long sinceMs = Math.max(1, decision.sinceArrivalMs());
@@ -99,7 +99,7 @@
       }
       case FIRST_TOKEN -> {
         histogram("firstTokenMs", workspace, tokens).update(sinceMs);
-        decision.reading().ifPresent(reading -> recordForecastError(reading, tokens));
+        decision.prefill().ifPresent(reading -> recordForecastError(reading, tokens));
       }
       case FINISHED, REFUSED -> countOutcome(decision, workspace, tokens);
       default -> {}
@@ -107,15 +107,15 @@
   }
 
   /** Records the difference between the expected and the actual time of the first token. */
-  private void recordForecastError(Reading reading, long promptTokens) {
-    long laterMs = reading.laterMs();
+  private void recordForecastError(Prefill reading, long promptTokens) {
+    long laterMs = reading.delayMs();
     String what = laterMs >= 0 ? "laterThanExpectedMs" : "soonerThanExpectedMs";
     String name = MetricRegistry.name(what, lengthClass(promptTokens), enginesClass(reading));
     histogram(name).update(Math.max(1, Math.abs(laterMs)));
   }
 
   /** Returns the class of a prefill by its number of engines: one, few or many. */
-  private static String enginesClass(Reading reading) {
+  private static String enginesClass(Prefill reading) {
     int engines = reading.engines().size();
     if (engines == 1) {
       return "one";
--- a/org.fawndrum/src/org/fawndrum/transport/RetireHost.java
+++ b/org.fawndrum/src/org/fawndrum/transport/RetireHost.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.fawndrum.coordination.membership.PeerFacts;
-import org.fawndrum.coordination.once.OnceLedger;
+import org.fawndrum.coordination.once.CallRegistry;
 import org.fawndrum.coordination.once.Registration;
 import org.fawndrum.internal.log.HostLog;
 import org.fawndrum.internal.log.LogEvent;
@@ -48,14 +48,14 @@
   }
 
   /** Returns whether the keys were handed over and the retirement was appended to the log. */
-  CompletableFuture<Boolean> call(List<OnceLedger.Inherited> keys) {
+  CompletableFuture<Boolean> call(List<CallRegistry.HandedOverKey> keys) {
     List<CompletableFuture<Boolean>> replies = new ArrayList<>();
     for (PeerFacts successor : successors) {
       replies.add(
           network
-              .ask(
+              .request(
                   successor.address(),
-                  PeerCodec.from(registration.identity())
+                  PeerCodec.newMessage(registration.identity())
                       .setLedgerHandover(PeerCodec.handover(keys, nowMs)))
               .handle((reply, failure) -> failure == null));
     }
@@ -70,7 +70,7 @@
     if (accepted == 0) {
       return CompletableFuture.completedFuture(false);
     }
-    log.event(LogEvent.HANDED_OVER, Integer.toString(keys), Long.toString(accepted));
+    log.event(LogEvent.CLAIMS_HANDED_OVER, Integer.toString(keys), Long.toString(accepted));
     return platform
         .append(LogCodec.registration(registration))
         .handle((offset, failure) -> failure == null);
--- a/org.fawndrum/src/org/fawndrum/transport/Versions.java
+++ b/org.fawndrum/src/org/fawndrum/transport/Versions.java
@@ -10,7 +10,7 @@
   /**
    * Returns the version in the manifest of the jar, or {@code unpacked} when not run from a jar.
    */
-  public static String own() {
+  public static String current() {
     String version = Versions.class.getPackage().getImplementationVersion();
     return version == null ? UNPACKED : version;
   }
--- a/org.fawndrum/src/org/fawndrum/transport/peer/NettyPeerNetwork.java
+++ b/org.fawndrum/src/org/fawndrum/transport/peer/NettyPeerNetwork.java
@@ -47,7 +47,7 @@
   private final Map<Long, CompletableFuture<PeerMessage>> pendingReplies =
       new ConcurrentHashMap<>();
   private final AtomicLong lastExchange = new AtomicLong();
-  private final AtomicLong dropped = new AtomicLong();
+  private final AtomicLong droppedMessages = new AtomicLong();
   private final AtomicLong bytesSent = new AtomicLong();
   private Channel server;
 
@@ -61,7 +61,7 @@
 
   /** Starts to listen; the future fails when the address cannot be bound. */
   public CompletableFuture<Void> listen() {
-    PeerPipeline pipeline = new PeerPipeline(this::received, dropped, log);
+    PeerPipeline pipeline = new PeerPipeline(this::received, droppedMessages, log);
     ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(loop)
@@ -97,8 +97,8 @@
   }
 
   /** Returns the number of received messages that were dropped because they were malformed. */
-  public long dropped() {
-    return dropped.get();
+  public long droppedMessages() {
+    return droppedMessages.get();
   }
 
   /** Returns the total size of the messages sent, in bytes. */
@@ -125,7 +125,7 @@
   }
 
   @Override
-  public void tell(HostAddress to, PeerMessage message) {
+  public void send(HostAddress to, PeerMessage message) {
     channel(to)
         .whenComplete(
             (channel, failure) -> {
@@ -138,7 +138,7 @@
   }
 
   @Override
-  public CompletableFuture<PeerMessage> ask(HostAddress to, PeerMessage.Builder message) {
+  public CompletableFuture<PeerMessage> request(HostAddress to, PeerMessage.Builder message) {
     long exchange = lastExchange.incrementAndGet();
     CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
     pendingReplies.put(exchange, reply);
@@ -160,7 +160,7 @@
   }
 
   @Override
-  public void drop(HostAddress peer) {
+  public void disconnect(HostAddress peer) {
     CompletableFuture<Channel> channel = channels.remove(peer);
     if (channel != null) {
       channel.thenAccept(Channel::close);
@@ -178,7 +178,7 @@
   }
 
   private CompletableFuture<Channel> connect(HostAddress to) {
-    PeerPipeline pipeline = new PeerPipeline(this::received, dropped, log);
+    PeerPipeline pipeline = new PeerPipeline(this::received, droppedMessages, log);
     CompletableFuture<Channel> connected = new CompletableFuture<>();
     new Bootstrap()
         .group(loop)
--- a/org.fawndrum/src/org/fawndrum/transport/peer/PeerNetwork.java
+++ b/org.fawndrum/src/org/fawndrum/transport/peer/PeerNetwork.java
@@ -9,16 +9,16 @@
 /** Sends messages to other daemons. Safe for all threads. */
 public interface PeerNetwork {
   /** Sends a one-way message, which may be lost. */
-  void tell(HostAddress to, PeerMessage message);
+  void send(HostAddress to, PeerMessage message);
 
   /**
    * Sends a request and returns its reply. The future fails with {@code PeerUnreachableException}
    * when the peer does not reply in time.
    */
-  CompletableFuture<PeerMessage> ask(HostAddress to, PeerMessage.Builder message);
+  CompletableFuture<PeerMessage> request(HostAddress to, PeerMessage.Builder message);
 
   /** Closes the connection to a peer, if there is one; the next message opens a new one. */
-  void drop(HostAddress peer);
+  void disconnect(HostAddress peer);
 
   /** Receives messages of other daemons that are not replies. */
   interface Receiver {
--- a/org.fawndrum/src/org/fawndrum/transport/peer/PeerPipeline.java
+++ b/org.fawndrum/src/org/fawndrum/transport/peer/PeerPipeline.java
@@ -40,7 +40,8 @@
   void install(ChannelPipeline pipeline) {
     pipeline
         .addLast(
-            new LengthFieldBasedFrameDecoder(PeerCodec.LARGEST, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
+            new LengthFieldBasedFrameDecoder(
+                PeerCodec.MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
         .addLast(new LengthFieldPrepender(LENGTH_BYTES))
         .addLast(new MessageHandler());
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/AttemptEventForwarder.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/AttemptEventForwarder.java
@@ -10,7 +10,7 @@
 record AttemptEventForwarder(Consumer<RelayEvent> decisions)
     implements RelayIntake.AttemptEventListener {
   @Override
-  public void happened(AttemptId attempt, AttemptEvent event) {
+  public void onEvent(AttemptId attempt, AttemptEvent event) {
     decisions.accept(new RelayEvent.AttemptChanged(attempt, event));
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ConfigurationReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ConfigurationReader.java
@@ -47,7 +47,7 @@
   public void applyChanges(KeyedPage page, long confirmedMs) {
     KeyedRecord latest = null;
     for (KeyedRecord record : page.records()) {
-      if (decoder.isConfiguration(record) && !record.drops()) {
+      if (decoder.isConfiguration(record) && !record.isTombstone()) {
         latest = record;
       }
     }
@@ -70,7 +70,7 @@
       }
       return true;
     } catch (RecordUnreadableException e) {
-      log.failure(LogEvent.RECORD_PASSED_OVER, e, Long.toString(record.offset()));
+      log.failure(LogEvent.RECORD_SKIPPED, e, Long.toString(record.offset()));
       return false;
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
@@ -7,9 +7,9 @@
 import org.fawndrum.coordination.DecisionKind;
 import org.fawndrum.coordination.Refusal;
 import org.fawndrum.internal.log.HostLog;
-import org.fawndrum.internal.log.LineBudget;
 import org.fawndrum.internal.log.LogDetails;
 import org.fawndrum.internal.log.LogEvent;
+import org.fawndrum.internal.log.LogRateLimiter;
 import org.fawndrum.protocol.OperatorMessages.DecisionView;
 import org.fawndrum.protocol.OperatorViews;
 import org.fawndrum.state.Endpoint;
@@ -37,8 +37,8 @@
   private final Supplier<Basis> basis;
   private final HostClock clock;
   private final HostLog log;
-  private final LineBudget failureBudget = new LineBudget(MAX_FAILURE_LINES_PER_SECOND);
-  private final LineBudget successBudget = new LineBudget(MAX_SUCCESS_LINES_PER_SECOND);
+  private final LogRateLimiter failureBudget = new LogRateLimiter(MAX_FAILURE_LINES_PER_SECOND);
+  private final LogRateLimiter successBudget = new LogRateLimiter(MAX_SUCCESS_LINES_PER_SECOND);
   private long nextSuppressedReportMs;
 
   /**
@@ -104,7 +104,7 @@
 
   @Override
   public void accept(Decision decision) {
-    metrics.decided(decision);
+    metrics.onDecision(decision);
     if (decision.kind() == DecisionKind.ADMITTED) {
       // The next decision, which places the request or makes it wait, follows immediately and is
       // logged.
@@ -112,7 +112,7 @@
     }
     boolean failed =
         decision.kind() == DecisionKind.REFUSED || decision.kind() == DecisionKind.ATTEMPT_FAILED;
-    if ((failed ? failureBudget : successBudget).take(clock.nowMs())) {
+    if ((failed ? failureBudget : successBudget).tryAcquire(clock.nowMs())) {
       log.details(
           LogEvent.DECISION, new DecisionDetails(OperatorViews.decision(decision), basis.get()));
     }
@@ -121,9 +121,9 @@
 
   /** Logs a request that was rejected before it reached the decision duty. */
   void requestRejected(String requestId, Refusal refusal) {
-    if (failureBudget.take(clock.nowMs())) {
+    if (failureBudget.tryAcquire(clock.nowMs())) {
       log.details(
-          LogEvent.TURNED_AWAY,
+          LogEvent.REJECTED_BEFORE_DECISION,
           new RejectedDetails(
               requestId, refusal.kind().code(), refusal.retryAfterMs(), basis.get()));
     }
@@ -131,9 +131,9 @@
 
   /** Logs a completed stream. */
   void streamCompleted(String requestId, StreamPace pace, String endpoint) {
-    if (successBudget.take(clock.nowMs())) {
+    if (successBudget.tryAcquire(clock.nowMs())) {
       log.details(
-          LogEvent.STREAM_ENDED,
+          LogEvent.STREAM_COMPLETED,
           new StreamDetails(
               requestId, endpoint, pace.events(), pace.longestPauseMs(), pace.longestPauseAfter()));
     }
@@ -145,7 +145,7 @@
    * @param why the failure of the last probe
    */
   void engineSilent(String requestId, String endpoint, long silentMs, Throwable why) {
-    if (failureBudget.take(clock.nowMs())) {
+    if (failureBudget.tryAcquire(clock.nowMs())) {
       log.details(
           LogEvent.ENGINE_SILENT,
           new SilentEngineDetails(requestId, endpoint, silentMs, String.valueOf(why.getMessage())));
@@ -154,10 +154,10 @@
 
   /** Logs a crash of an endpoint that had a request. */
   void endpointCrashed(RelayCall call, Endpoint endpoint) {
-    if (failureBudget.take(clock.nowMs())) {
+    if (failureBudget.tryAcquire(clock.nowMs())) {
       String fingerprint = call.content().fingerprint().map(Object::toString).orElse("");
       log.details(
-          LogEvent.ENDPOINT_ENDED,
+          LogEvent.ENDPOINT_CRASHED,
           new EndpointCrashDetails(
               call.request().requestId(), endpoint.name(), endpoint.incarnation(), fingerprint));
     }
@@ -165,8 +165,8 @@
 
   /** Logs that an attempt released its memory on other engines. */
   void memoryFreed(String requestId, String endpoint, PromptMemory.Usage usage) {
-    if (successBudget.take(clock.nowMs())) {
-      log.details(LogEvent.MEMORY_FREED, new MemoryDetails(requestId, endpoint, usage));
+    if (successBudget.tryAcquire(clock.nowMs())) {
+      log.details(LogEvent.MEMORY_RELEASED, new MemoryDetails(requestId, endpoint, usage));
     }
   }
 
@@ -176,11 +176,11 @@
       return;
     }
     nextSuppressedReportMs = nowMs + SUPPRESSED_REPORT_INTERVAL_MS;
-    long suppressedFailures = failureBudget.takeLeftOut();
-    long suppressedSuccesses = successBudget.takeLeftOut();
+    long suppressedFailures = failureBudget.takeSuppressed();
+    long suppressedSuccesses = successBudget.takeSuppressed();
     if (suppressedFailures + suppressedSuccesses > 0) {
       log.event(
-          LogEvent.LINES_LEFT_OUT,
+          LogEvent.LINES_SUPPRESSED,
           Long.toString(suppressedFailures),
           Long.toString(suppressedSuccesses));
     }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointEventPublisher.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointEventPublisher.java
@@ -2,17 +2,17 @@
 package org.fawndrum.transport.relay;
 
 import java.util.List;
-import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.crash.CrashUpdate;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 
 /** Sends this host's findings about endpoints to other daemons. Never blocks. */
 interface EndpointEventPublisher {
   /** Sends endpoint crashes to all daemons. */
-  void publishCrashes(CrashNews crashes);
+  void publishCrashes(CrashUpdate crashes);
 
   /** Sends all endpoint crashes known here to one daemon. */
-  void sendAllCrashes(HostAddress to, CrashNews all);
+  void sendAllCrashes(HostAddress to, CrashUpdate all);
 
   /** Sends to all daemons that endpoints are shutting down. */
   void publishShutdowns(List<HostIdentity> endpoints);
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointNotice.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointNotice.java
@@ -4,11 +4,11 @@
 /**
  * State that an endpoint reports about itself in the headers of a response. Immutable.
  *
- * @param leaving whether the endpoint is shutting down: it answers for a while and then terminates
- * @param restMs how long this host should send nothing to the endpoint, in milliseconds; 0 if the
- *     endpoint requested no backoff
+ * @param draining whether the endpoint is shutting down: it answers for a while and then terminates
+ * @param backoffMs how long this host should send nothing to the endpoint, in milliseconds; 0 if
+ *     the endpoint requested no backoff
  */
-public record EndpointNotice(boolean leaving, long restMs) {
+public record EndpointNotice(boolean draining, long backoffMs) {
   /** No state was reported. */
   public static final EndpointNotice NONE = new EndpointNotice(false, 0);
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointNotices.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointNoticeListener.java
@@ -5,10 +5,10 @@
 
 /** Receives the notices in endpoints' responses. Called on event loops; must not block. */
 @FunctionalInterface
-public interface EndpointNotices {
+public interface EndpointNoticeListener {
   /**
    * Called when a response of an endpoint incarnation contained a notice; not called for {@code
    * NONE}.
    */
-  void heard(HostIdentity endpoint, EndpointNotice notice);
+  void noticeReceived(HostIdentity endpoint, EndpointNotice notice);
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointReader.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 import org.fawndrum.errors.RecordUnreadableException;
 import org.fawndrum.internal.log.HostLog;
-import org.fawndrum.internal.log.LineBudget;
 import org.fawndrum.internal.log.LogEvent;
+import org.fawndrum.internal.log.LogRateLimiter;
 import org.fawndrum.protocol.KeyedPage;
 import org.fawndrum.protocol.KeyedPage.KeyedRecord;
 import org.fawndrum.protocol.StorePosition;
@@ -60,7 +60,7 @@
   private final EntryHistory entryHistory = new EntryHistory();
   private final EntryChanges entryChanges = new EntryChanges();
   private Set<String> keysWithoutStart = Set.of();
-  private final LineBudget lineBudget = new LineBudget(MAX_LINES_PER_SECOND);
+  private final LogRateLimiter lineBudget = new LogRateLimiter(MAX_LINES_PER_SECOND);
   private long recoveredMs = HostClock.NEVER_MS;
 
   /**
@@ -91,7 +91,7 @@
     if (!beginPage(page)) {
       return;
     }
-    boolean restored = knownEnd.isKnown() && page.era() > knownEnd.era();
+    boolean restored = knownEnd.isKnown() && page.epoch() > knownEnd.epoch();
     if (restored) {
       recoveredMs = clock.nowMs();
     }
@@ -101,7 +101,7 @@
     missing.removeAll(present);
     List<KeyedRecord> valid = new ArrayList<>();
     for (KeyedRecord record : page.records()) {
-      if (record.drops()) {
+      if (record.isTombstone()) {
         // A peer sends the newest record of each key, and this one was unusable for it.
         invalidate(record);
       } else {
@@ -114,7 +114,7 @@
       expiredKeys.addAll(missing);
       missing.clear();
     }
-    applyPage(new KeyedPage(valid, page.end(), page.era()), missing);
+    applyPage(new KeyedPage(valid, page.end(), page.epoch()), missing);
     confirm(page.endPosition(), queriedMs);
   }
 
@@ -132,7 +132,7 @@
    * may already have sent later state of the store.
    */
   private boolean beginPage(KeyedPage page) {
-    if (page.era() < knownEnd.era()) {
+    if (page.epoch() < knownEnd.epoch()) {
       return false;
     }
     pageEnd = knownEnd.max(page.endPosition());
@@ -146,7 +146,7 @@
    * @param atMs a time at which the log certainly ended there, by the host's clock
    */
   void confirm(StorePosition end, long atMs) {
-    if (end.era() == knownEnd.era()) {
+    if (end.epoch() == knownEnd.epoch()) {
       knownEnd = knownEnd.max(end);
       confirmedAtMs = Math.max(confirmedAtMs, atMs);
     }
@@ -187,7 +187,7 @@
     List<KeyedRecord> changed = new ArrayList<>();
     for (String key : keys.get()) {
       KeyedRecord record = records.get(key);
-      if (record != null && record.drops()) {
+      if (record != null && record.isTombstone()) {
         // In a list of changes, this record would mean that the entry expired and may come back.
         return Optional.empty();
       }
@@ -203,7 +203,7 @@
 
   private void applyPage(KeyedPage page, Set<String> missing) {
     for (KeyedRecord record : page.records()) {
-      if (record.drops()) {
+      if (record.isTombstone()) {
         missing.add(record.key());
       } else {
         missing.remove(record.key());
@@ -221,13 +221,13 @@
   private void putEntry(KeyedRecord record, KeyedPage page) {
     try {
       RelayDecoder.EndpointEntry entry = decoder.endpoint(record);
-      if (entryHistory.isStaleCopy(record.key(), entry, page.era())) {
+      if (entryHistory.isStaleCopy(record.key(), entry, page.epoch())) {
         return;
       }
-      entryHistory.recordEntry(record.key(), entry, page.era());
+      entryHistory.recordEntry(record.key(), entry, page.epoch());
       records.put(record.key(), record);
       if (!entry.hasSameContent(entries.put(record.key(), entry))) {
-        entryChanges.recordChange(record.key(), page.after(record));
+        entryChanges.recordChange(record.key(), page.positionAfter(record));
       }
       expiredKeys.remove(record.key());
     } catch (RecordUnreadableException e) {
@@ -238,7 +238,7 @@
 
   private void logUnusable(KeyedRecord record, Object why) {
     unusableCount = unusableCount + 1;
-    if (lineBudget.take(clock.nowMs())) {
+    if (lineBudget.tryAcquire(clock.nowMs())) {
       log.event(LogEvent.ENTRY_UNUSABLE, record.key(), record.offset(), why);
     }
   }
@@ -274,10 +274,10 @@
     records.remove(key);
     expiredKeys.remove(key);
     if (entries.remove(key) != null) {
-      entryHistory.recordRemoval(key, pageEnd.era());
+      entryHistory.recordRemoval(key, pageEnd.epoch());
       // One position beyond the end, so that hosts that have read up to the end receive the change,
       // too.
-      StorePosition beyondEnd = new StorePosition(pageEnd.era(), pageEnd.offset() + 1);
+      StorePosition beyondEnd = new StorePosition(pageEnd.epoch(), pageEnd.offset() + 1);
       entryChanges.recordChange(key, beyondEnd);
     }
   }
@@ -293,7 +293,7 @@
     Set<String> keys = new HashSet<>();
     entries.forEach(
         (key, entry) -> {
-          if (entry.endpoint().incarnation() == Endpoint.START_NOT_TOLD) {
+          if (entry.endpoint().incarnation() == Endpoint.UNKNOWN_INCARNATION) {
             keys.add(key);
           }
         });
@@ -315,7 +315,7 @@
         continue;
       }
       endpoints.add(entry.endpoint());
-      if (entry.leaving()) {
+      if (entry.draining()) {
         leaving.add(entry.endpoint().identity());
       }
     }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EngineOrders.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EngineControl.java
@@ -8,12 +8,12 @@
  * Controls reserved cache memory of engines and requests their reports. Futures complete on the
  * caller's event loop.
  */
-public interface EngineOrders {
+public interface EngineControl {
   /**
    * Sets the listener for notices in engines' responses. Called before the first request; without a
    * listener, notices are discarded.
    */
-  void hearNotices(EndpointNotices listener);
+  void setNoticeListener(EndpointNoticeListener listener);
 
   /**
    * Reserves memory for a time, or extends a reservation. Returns false if the engine does not have
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EntryChanges.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EntryChanges.java
@@ -33,7 +33,7 @@
     lastChange =
         position.isAfter(lastChange)
             ? position
-            : new StorePosition(lastChange.era(), lastChange.offset() + 1);
+            : new StorePosition(lastChange.epoch(), lastChange.offset() + 1);
     positions.remove(key);
     positions.put(key, lastChange);
     if (positions.size() > MAX_KEPT) {
@@ -51,7 +51,7 @@
    * longer recorded.
    */
   synchronized Optional<Set<String>> keysChangedSince(StorePosition from) {
-    if (from.era() != lastChange.era() || droppedTo.isAfter(from)) {
+    if (from.epoch() != lastChange.epoch() || droppedTo.isAfter(from)) {
       return Optional.empty();
     }
     Set<String> keys = new HashSet<>();
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EntryHistory.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EntryHistory.java
@@ -55,7 +55,7 @@
    */
   boolean isStaleCopy(String key, EndpointEntry entry, long epoch) {
     KnownEntry known = present.getOrDefault(key, removed.get(key));
-    if (known == null || epoch <= known.epoch() || entry.leaving()) {
+    if (known == null || epoch <= known.epoch() || entry.draining()) {
       return false;
     }
     boolean isNewer = known.entry().isOlderThan(entry);
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetDuty.java
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import org.fawndrum.coordination.Action;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetMember;
 import org.fawndrum.coordination.membership.FleetOverlay;
 import org.fawndrum.coordination.membership.FleetReport;
@@ -74,7 +74,7 @@
   private final HostLog log;
   private final Duty<FleetEvent> duty;
   private final FleetOverlay overlay;
-  private final Map<String, List<EngineNews>> ownUpdates = new LinkedHashMap<>();
+  private final Map<String, List<EngineUpdate>> ownUpdates = new LinkedHashMap<>();
   private final ShutdownNotices shutdownNotices = new ShutdownNotices();
   private final ReportBuffer reportBuffer = new ReportBuffer();
   private volatile List<HostAddress> livePeers = List.of();
@@ -116,7 +116,7 @@
   }
 
   /** Queues an update for the other daemons; if the ring is full, the next heartbeat covers it. */
-  void announce(Action.Announce update) {
+  void announce(Action.BroadcastWork update) {
     duty.offer(new FleetEvent.WorkChanged(update));
   }
 
@@ -159,8 +159,8 @@
 
   private void handle(FleetEvent event) {
     if (event instanceof FleetEvent.WorkChanged changed) {
-      Action.Announce update = changed.update();
-      ownUpdates.computeIfAbsent(update.zone(), zone -> new ArrayList<>()).add(update.news());
+      Action.BroadcastWork update = changed.update();
+      ownUpdates.computeIfAbsent(update.zone(), zone -> new ArrayList<>()).add(update.update());
     } else if (event instanceof FleetEvent.AllWork all) {
       // The pending updates go first: for completed work they say whether the endpoint seems to be
       // the cause, which the complete report does not.
@@ -184,21 +184,21 @@
   private void handleMessage(FleetEvent.MessageReceived message) {
     long nowMs = clock.nowMs();
     boolean first = !overlay.isAlive(message.from());
-    overlay.heardDirectly(message.from(), message.subscribes(), nowMs);
-    overlay.learn(message.known(), nowMs);
+    overlay.receivedFrom(message.from(), message.subscribes(), nowMs);
+    overlay.addMembers(message.known(), nowMs);
     List<FleetReport> fresh = new ArrayList<>();
     for (FleetReport report : message.reports()) {
-      if (overlay.take(report, nowMs)) {
+      if (overlay.accept(report, nowMs)) {
         fresh.add(report);
       }
     }
     if (!fresh.isEmpty()) {
       listener.reportsReceived(fresh);
     }
-    if (overlay.passesOn(nowMs)) {
+    if (overlay.forwards(nowMs)) {
       reportBuffer.add(fresh, nowMs);
     }
-    if (message.subscribes() && (first || overlay.knowsBetter(message.from(), nowMs))) {
+    if (message.subscribes() && (first || overlay.hasCloserLeader(message.from(), nowMs))) {
       sendKnownMembers(message.from());
     }
   }
@@ -227,8 +227,8 @@
 
   /** Returns the addresses to which this daemon sends updates that must not wait. */
   private Set<HostAddress> broadcastAddresses(long nowMs) {
-    Set<HostAddress> to = addresses(overlay.near(nowMs));
-    to.addAll(addresses(overlay.far(nowMs)));
+    Set<HostAddress> to = addresses(overlay.sameZoneLinks(nowMs));
+    to.addAll(addresses(overlay.otherZoneLinks(nowMs)));
     return to;
   }
 
@@ -245,9 +245,9 @@
     if (nowMs >= nextViewUpdateMs) {
       nextViewUpdateMs = nowMs + VIEW_INTERVAL_MS;
       silentZones = overlay.silentZones(nowMs);
-      allPeersActive = overlay.hearsAll(nowMs);
+      allPeersActive = overlay.allHostsReporting(nowMs);
     }
-    boolean passesOn = overlay.passesOn(nowMs);
+    boolean passesOn = overlay.forwards(nowMs);
     if (passesOn && nowMs >= forwardDueMs(nowMs)) {
       forwardReports(nowMs);
     }
@@ -261,14 +261,14 @@
   }
 
   private long forwardDueMs(long nowMs) {
-    return reportBuffer.dueMs(overlay.near(nowMs).size());
+    return reportBuffer.dueMs(overlay.sameZoneLinks(nowMs).size());
   }
 
   /** Publishes the live peers to other threads. */
   private void publishPeers(long nowMs) {
-    overlay.forget(nowMs);
+    overlay.expire(nowMs);
     livePeers = overlay.alive().stream().map(FleetMember::address).toList();
-    knownPeerCount = livePeers.size() + overlay.silent().size();
+    knownPeerCount = livePeers.size() + overlay.silentAddresses().size();
     manyDaemons = livePeers.size() >= MANY_DAEMONS;
   }
 
@@ -282,38 +282,38 @@
         (zone, updates) ->
             reports.add(new FleetReport(self, Optional.empty(), ++sequence, zone, false, updates)));
     ownUpdates.clear();
-    if (overlay.passesOn(nowMs)) {
+    if (overlay.forwards(nowMs)) {
       reportBuffer.add(reports, nowMs);
     } else {
-      send(newMessage(reports, nowMs), addresses(overlay.near(nowMs)));
+      send(newMessage(reports, nowMs), addresses(overlay.sameZoneLinks(nowMs)));
     }
   }
 
   /** Subscribes at once if the zone leader changed. */
   private void followLeader(long nowMs) {
-    FleetMember leader = overlay.speaker(nowMs);
+    FleetMember leader = overlay.zoneLeader(nowMs);
     HostAddress leaderAddress = leader.identity().equals(self) ? null : leader.address();
     if (leaderAddress != null && !leaderAddress.equals(zoneLeader)) {
-      log.event(LogEvent.SPEAKER_CHOSEN, leader.identity(), leader.zone());
+      log.event(LogEvent.ZONE_LEADER_CHANGED, leader.identity(), leader.zone());
       nextHeartbeatMs = nowMs;
     }
     zoneLeader = leaderAddress;
   }
 
-  private void sendHeartbeat(List<EngineNews> work) {
+  private void sendHeartbeat(List<EngineUpdate> work) {
     long nowMs = clock.nowMs();
     FleetReport all =
-        new FleetReport(self, Optional.of(member), ++sequence, FleetReport.EVERYWHERE, true, work);
+        new FleetReport(self, Optional.of(member), ++sequence, FleetReport.ALL_ZONES, true, work);
     FleetNews.Builder builder =
         newMessage().setSubscribes(true).addReports(FleetCodec.write(all, nowMs));
-    Set<HostAddress> to = addresses(overlay.far(nowMs));
+    Set<HostAddress> to = addresses(overlay.otherZoneLinks(nowMs));
     if (zoneLeader != null) {
       to.add(zoneLeader);
     } else {
       to.addAll(contactAddresses());
     }
     send(builder, to);
-    if (overlay.passesOn(nowMs)) {
+    if (overlay.forwards(nowMs)) {
       reportBuffer.add(List.of(all), nowMs);
     }
   }
@@ -321,7 +321,7 @@
   /** Returns addresses at which daemons may be that this host receives no messages from. */
   private Set<HostAddress> contactAddresses() {
     Set<HostAddress> addresses = addressSet();
-    overlay.silent().stream().limit(MAX_SILENT_CONTACTS).forEach(addresses::add);
+    overlay.silentAddresses().stream().limit(MAX_SILENT_CONTACTS).forEach(addresses::add);
     addresses.addAll(currentSettings.get().otherSeeds());
     return addresses;
   }
@@ -329,8 +329,8 @@
   /** Forwards the gathered reports; with many daemons, only to the zones that they concern. */
   private void forwardReports(long nowMs) {
     Map<String, List<FleetMember>> byZone = new TreeMap<>();
-    byZone.put(member.zone(), overlay.near(nowMs));
-    for (FleetMember far : overlay.far(nowMs)) {
+    byZone.put(member.zone(), overlay.sameZoneLinks(nowMs));
+    for (FleetMember far : overlay.otherZoneLinks(nowMs)) {
       byZone.computeIfAbsent(far.zone(), zone -> new ArrayList<>()).add(far);
     }
     List<FleetReport> all = reportBuffer.drain(nowMs);
@@ -353,15 +353,15 @@
     return FleetNews.newBuilder()
         .setSender(FleetCodec.write(member))
         .setConfigurationRevision(positions.configurationRevision())
-        .setEndpointsEra(positions.endpointsChanged().era())
+        .setEndpointsEra(positions.endpointsChanged().epoch())
         .setEndpointsChanged(positions.endpointsChanged().offset())
         .addAllLeaving(FleetCodec.writeEndpoints(shutdownNotices.current(clock.nowMs())))
         .setCrashSummary(crashSummary.getAsLong());
   }
 
   private void send(FleetNews.Builder builder, Collection<HostAddress> to) {
-    PeerMessage message = PeerCodec.from(self).setFleetNews(builder).build();
-    to.forEach(address -> network.tell(address, message));
+    PeerMessage message = PeerCodec.newMessage(self).setFleetNews(builder).build();
+    to.forEach(address -> network.send(address, message));
   }
 
   private static Set<HostAddress> addresses(List<FleetMember> members) {
@@ -386,7 +386,7 @@
     public void gone(FleetMember peer, long silentMs) {
       log.event(LogEvent.PEER_SUSPECTED, peer.identity(), Long.toString(silentMs));
       listener.daemonGone(peer.identity());
-      network.drop(peer.address());
+      network.disconnect(peer.address());
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetEvent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetEvent.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Optional;
 import org.fawndrum.coordination.Action;
-import org.fawndrum.coordination.crash.CrashNews;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.crash.CrashUpdate;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetMember;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.state.HostAddress;
@@ -14,10 +14,10 @@
 /** An event for {@link FleetDuty}. */
 sealed interface FleetEvent {
   /** An update of this host's work. */
-  record WorkChanged(Action.Announce update) implements FleetEvent {}
+  record WorkChanged(Action.BroadcastWork update) implements FleetEvent {}
 
   /** All of this host's work, for a heartbeat. */
-  record AllWork(List<EngineNews> work) implements FleetEvent {}
+  record AllWork(List<EngineUpdate> work) implements FleetEvent {}
 
   /** A message of another daemon. */
   record MessageReceived(
@@ -33,5 +33,5 @@
   record EndpointsShuttingDown(List<HostIdentity> endpoints) implements FleetEvent {}
 
   /** Endpoints crashed; one daemon receives all crashes known here, or all daemons the new ones. */
-  record EndpointCrashes(Optional<HostAddress> to, CrashNews crashes) implements FleetEvent {}
+  record EndpointCrashes(Optional<HostAddress> to, CrashUpdate crashes) implements FleetEvent {}
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetEventForwarder.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetEventForwarder.java
@@ -3,7 +3,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
@@ -21,7 +21,7 @@
   }
 
   @Override
-  public void workRequested(Consumer<List<EngineNews>> reply) {
+  public void workRequested(Consumer<List<EngineUpdate>> reply) {
     decisions.accept(new RelayEvent.WorkRequested(reply));
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetListener.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetListener.java
@@ -3,7 +3,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
@@ -17,7 +17,7 @@
   void daemonGone(HostIdentity daemon);
 
   /** Called when all of this host's work is to be reported. */
-  void workRequested(Consumer<List<EngineNews>> reply);
+  void workRequested(Consumer<List<EngineUpdate>> reply);
 
   /** Called when another daemon reported endpoints that crashed during requests. */
   void crashesReceived(PeerCrashReport report);
--- a/org.fawndrum/src/org/fawndrum/transport/relay/IncarnationGuard.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/IncarnationGuard.java
@@ -17,8 +17,8 @@
  * incarnation is learned from the endpoints' entries and from engines' reports, which are available
  * even while the store is down. Thread-safe.
  */
-final class IncarnationGuard implements EngineOrders {
-  private final EngineOrders delegate;
+final class IncarnationGuard implements EngineControl {
+  private final EngineControl delegate;
   private final Consumer<HostIdentity> onRestart;
   private final Map<String, Long> newestIncarnations = new ConcurrentHashMap<>();
 
@@ -28,7 +28,7 @@
    * @param delegate sends the requests
    * @param onRestart receives each later incarnation that a report reveals; must not block
    */
-  IncarnationGuard(EngineOrders delegate, Consumer<HostIdentity> onRestart) {
+  IncarnationGuard(EngineControl delegate, Consumer<HostIdentity> onRestart) {
     this.delegate = delegate;
     this.onRestart = onRestart;
   }
@@ -52,8 +52,8 @@
   }
 
   @Override
-  public void hearNotices(EndpointNotices listener) {
-    delegate.hearNotices(listener);
+  public void setNoticeListener(EndpointNoticeListener listener) {
+    delegate.setNoticeListener(listener);
   }
 
   @Override
@@ -86,7 +86,7 @@
   }
 
   private void recordIncarnation(Endpoint engine, long incarnation) {
-    boolean comparable = engine.incarnation() != Endpoint.START_NOT_TOLD;
+    boolean comparable = engine.incarnation() != Endpoint.UNKNOWN_INCARNATION;
     if (comparable && incarnation > engine.incarnation()) {
       newestIncarnations.merge(engine.name(), incarnation, Math::max);
       onRestart.accept(new HostIdentity(engine.name(), incarnation));
--- a/org.fawndrum/src/org/fawndrum/transport/relay/IncarnationProbes.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/IncarnationProbes.java
@@ -21,7 +21,7 @@
 
   private final Vertx vertx;
   private final Context loop;
-  private final EngineOrders engineControl;
+  private final EngineControl engineControl;
   private final Consumer<Endpoint> onProbed;
 
   /**
@@ -30,7 +30,7 @@
    * @param engineControl sends them
    * @param onProbed receives each endpoint that was probed; must not block
    */
-  IncarnationProbes(Vertx vertx, EngineOrders engineControl, Consumer<Endpoint> onProbed) {
+  IncarnationProbes(Vertx vertx, EngineControl engineControl, Consumer<Endpoint> onProbed) {
     this.vertx = vertx;
     this.loop = vertx.getOrCreateContext();
     this.engineControl = engineControl;
--- a/org.fawndrum/src/org/fawndrum/transport/relay/MemoryUseTracker.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/MemoryUseTracker.java
@@ -29,16 +29,16 @@
    * @param heldMs how long the memory has been reserved, in milliseconds
    */
   boolean mayBeInUse(EngineReport requestEngine, EngineReport helper, String ticket, long heldMs) {
-    if (!helper.told()) {
+    if (!helper.hasDetails()) {
       return true;
     }
-    if (helper.usedMemory().contains(ticket)) {
+    if (helper.ticketsInUse().contains(ticket)) {
       started = true;
       return true;
     }
     // Memory that was in use and no longer is belongs to a completed request. A request that has
     // not started must be waiting somewhere.
-    boolean mayBeWaiting = !requestEngine.told() || requestEngine.waiting() > 0;
+    boolean mayBeWaiting = !requestEngine.hasDetails() || requestEngine.waitingRequests() > 0;
     return !started && mayBeWaiting && heldMs < MAX_UNUSED_MS;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/MetricsServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/MetricsServer.java
@@ -13,7 +13,7 @@
 import java.io.StringWriter;
 import java.util.List;
 import java.util.function.Supplier;
-import org.fawndrum.coordination.crash.RefusedRequest;
+import org.fawndrum.coordination.crash.RejectedRequest;
 import org.fawndrum.internal.log.HostLog;
 import org.fawndrum.internal.log.LogEvent;
 import org.fawndrum.protocol.Json;
@@ -30,14 +30,14 @@
   private final Vertx vertx;
   private final HostAddress address;
   private final MetricRegistry registry;
-  private final Supplier<List<RefusedRequest>> rejected;
+  private final Supplier<List<RejectedRequest>> rejected;
   private final HostLog log;
 
   MetricsServer(
       Vertx vertx,
       HostAddress address,
       MetricRegistry registry,
-      Supplier<List<RefusedRequest>> rejected,
+      Supplier<List<RejectedRequest>> rejected,
       HostLog log) {
     this.vertx = vertx;
     this.address = address;
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PeerCrashReport.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PeerCrashReport.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.transport.relay;
 
-import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.crash.CrashUpdate;
 import org.fawndrum.state.HostAddress;
 
 /**
@@ -12,4 +12,4 @@
  * @param complete whether these are all crashes that the daemon knows
  * @param summary a hash of all crashes that the daemon knows
  */
-record PeerCrashReport(HostAddress daemon, CrashNews crashes, boolean complete, long summary) {}
+record PeerCrashReport(HostAddress daemon, CrashUpdate crashes, boolean complete, long summary) {}
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PeerStoreSync.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PeerStoreSync.java
@@ -116,12 +116,12 @@
     KnowledgeRequest request =
         KnowledgeRequest.newBuilder()
             .setConfigurationRevision(routes.table().revision())
-            .setEndpointsEra(query.known().era())
+            .setEndpointsEra(query.known().epoch())
             .setEndpointsEnd(query.known().offset())
             .build();
     long queriedMs = clock.nowMs();
     network
-        .ask(peer, PeerCodec.from(self).setKnowledgeRequest(request))
+        .request(peer, PeerCodec.newMessage(self).setKnowledgeRequest(request))
         .whenComplete(
             (reply, failure) ->
                 eventLoop.runOnContext(v -> replyReceived(peer, query, queriedMs, reply, failure)));
@@ -141,7 +141,7 @@
         peerPositions.replyApplied(peer, query);
       }
     } else {
-      log.event(LogEvent.PEER_GAVE_NOTHING, peer, String.valueOf(failure));
+      log.event(LogEvent.PEER_STATE_UNAVAILABLE, peer, String.valueOf(failure));
     }
   }
 
@@ -151,7 +151,7 @@
     boolean upToDate = routes.table().revision() >= reply.getConfigurationRevision();
     // A peer that reads the store of an earlier epoch cannot confirm a configuration for a host
     // that knows a later one.
-    boolean oldEpoch = reply.getEndpointsEra() < endpoints.knownEnd().era();
+    boolean oldEpoch = reply.getEndpointsEra() < endpoints.knownEnd().epoch();
     if (decoded && upToDate && !oldEpoch && reply.getConfigurationAgeMs() >= 0) {
       routes.confirm(queriedMs - reply.getConfigurationAgeMs());
     }
@@ -169,7 +169,7 @@
     }
     List<KeyedRecord> records =
         reply.getEndpointsList().stream().map(PeerStoreSync::record).toList();
-    KeyedPage page = new KeyedPage(records, end.offset(), end.era());
+    KeyedPage page = new KeyedPage(records, end.offset(), end.epoch());
     if (reply.getEndpointsChangesOnly()) {
       endpoints.applyChanges(page, confirmedMs);
     } else {
@@ -183,12 +183,12 @@
     long ageMs = routes.ageMs(nowMs);
     StorePosition end = endpoints.knownEnd();
     StorePosition peers = new StorePosition(request.getEndpointsEra(), request.getEndpointsEnd());
-    boolean unchanged = end.era() == peers.era() && !endpoints.lastChange().isAfter(peers);
+    boolean unchanged = end.epoch() == peers.epoch() && !endpoints.lastChange().isAfter(peers);
     KnowledgeReply.Builder reply =
         KnowledgeReply.newBuilder()
             .setConfigurationAgeMs(ageMs)
             .setConfigurationRevision(routes.table().revision())
-            .setEndpointsEra(end.era())
+            .setEndpointsEra(end.epoch())
             .setEndpointsEnd(end.offset())
             .setEndpointsAgeMs(end.isKnown() ? endpoints.ageMs(nowMs) : -1)
             .setEndpointsLeftOut(unchanged);
@@ -201,7 +201,7 @@
       reply.setEndpointsChangesOnly(changes.isPresent());
       changes.orElseGet(endpoints::records).forEach(changed -> reply.addEndpoints(record(changed)));
     }
-    return PeerCodec.from(self).setKnowledgeReply(reply);
+    return PeerCodec.newMessage(self).setKnowledgeReply(reply);
   }
 
   private static StoreRecord record(KeyedRecord record) {
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PromptMemory.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PromptMemory.java
@@ -52,7 +52,7 @@
 
   private final HostClock clock;
   private final Timer timer;
-  private final EngineOrders engineControl;
+  private final EngineControl engineControl;
   private final List<HelperMemory> helperMemories;
   private final HostLog log;
   private final List<Lease> leases = new ArrayList<>();
@@ -99,7 +99,7 @@
   PromptMemory(
       HostClock clock,
       Timer timer,
-      EngineOrders engineControl,
+      EngineControl engineControl,
       AttemptId attempt,
       List<Action.Helper> helpers,
       HostLog log) {
@@ -185,7 +185,7 @@
     unansweredReserves++;
     lease.lateUntilMs = clock.nowMs() + MAX_LATE_MS;
     unreachable = lease.memory.helper().endpoint().identity();
-    log.event(LogEvent.MEMORY_ORDER_FAILED, lease.memory.ticket(), cause);
+    log.event(LogEvent.MEMORY_REQUEST_FAILED, lease.memory.ticket(), cause);
   }
 
   /**
@@ -274,7 +274,7 @@
               if (triesLeft > 1) {
                 sendRelease(memory, triesLeft - 1);
               } else {
-                log.event(LogEvent.MEMORY_ORDER_FAILED, memory.ticket(), cause);
+                log.event(LogEvent.MEMORY_REQUEST_FAILED, memory.ticket(), cause);
               }
             });
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayAdapter.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayAdapter.java
@@ -9,7 +9,7 @@
  * @param codec reads and writes the headers of callers and endpoints
  * @param decoder decodes the store's records
  * @param store the store's logs
- * @param orders sends control requests to engines
+ * @param engineControl sends control requests to engines
  */
 public record RelayAdapter(
-    RelayCodec codec, RelayDecoder decoder, KeyedLog store, EngineOrders orders) {}
+    RelayCodec codec, RelayDecoder decoder, KeyedLog store, EngineControl engineControl) {}
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayAttempt.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayAttempt.java
@@ -14,7 +14,7 @@
 import org.fawndrum.state.Endpoint;
 import org.fawndrum.state.EndpointKind;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 import org.fawndrum.state.RouteKind;
 
 /**
@@ -124,8 +124,8 @@
     return hasFirstEvent;
   }
 
-  RequestAims latencyTargets() {
-    return call.route().aims();
+  LatencyTargets latencyTargets() {
+    return call.route().latencyTargets();
   }
 
   boolean repeatable() {
@@ -194,14 +194,14 @@
       connectedRequest.reset();
       return;
     }
-    if (relay.backoffs().lasts(send.endpoint().identity(), relay.clock().nowMs())) {
+    if (relay.backoffs().isActive(send.endpoint().identity(), relay.clock().nowMs())) {
       // The endpoint requested the backoff while the connection was established.
       connectedRequest.reset();
-      fail(AttemptEvent.ENDPOINT_RESTS);
+      fail(AttemptEvent.ENDPOINT_BACKOFF);
       return;
     }
     request = connectedRequest;
-    request.headers().addAll(relay.codec().forEndpoint(call.headers(), sending()));
+    request.headers().addAll(relay.codec().endpointHeaders(call.headers(), sending()));
     request.exceptionHandler(cause -> connectionLost());
     owner.handedOver();
     lastProgressMs = relay.clock().nowMs();
@@ -233,7 +233,8 @@
 
   private void headReceived(HttpClientResponse head) {
     String requestId = call.request().requestId();
-    RelayCodec.Answer kind = relay.codec().answer(head.statusCode(), head.headers(), requestId);
+    RelayCodec.Answer kind =
+        relay.codec().classifyAnswer(head.statusCode(), head.headers(), requestId);
     forwardNotice(kind, head);
     if (finished) {
       return;
@@ -242,8 +243,8 @@
     liveness.recordActivity();
     head.exceptionHandler(cause -> connectionLost());
     switch (kind) {
-      case NOT_RUN, OTHER_ENDPOINT -> refusedByEndpoint(head.headers());
-      case FOREIGN -> abandon();
+      case NOT_RUN, WRONG_ENDPOINT -> refusedByEndpoint(head.headers());
+      case MISMATCHED -> abandon();
       default -> {
         boolean success = isSuccess(head.statusCode());
         if (success && call.route().kind() == RouteKind.STREAM) {
@@ -257,11 +258,11 @@
 
   /** Forwards a notice of the endpoint, even if its answer is no longer needed. */
   private void forwardNotice(RelayCodec.Answer kind, HttpClientResponse head) {
-    boolean own = kind == RelayCodec.Answer.OWN || kind == RelayCodec.Answer.NOT_RUN;
+    boolean own = kind == RelayCodec.Answer.VALID || kind == RelayCodec.Answer.NOT_RUN;
     EndpointNotice notice =
-        own ? relay.codec().notice(head.statusCode(), head.headers()) : EndpointNotice.NONE;
+        own ? relay.codec().readNotice(head.statusCode(), head.headers()) : EndpointNotice.NONE;
     if (!notice.equals(EndpointNotice.NONE)) {
-      relay.noticeListener().heard(send.endpoint().identity(), notice);
+      relay.noticeListener().noticeReceived(send.endpoint().identity(), notice);
     }
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayCodec.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayCodec.java
@@ -18,19 +18,19 @@
    *
    * @throws org.fawndrum.errors.RefusedException if they are invalid
    */
-  RelayRequest read(MultiMap headers);
+  RelayRequest readRequest(MultiMap headers);
 
   /** Returns the headers to send to an endpoint in place of the caller's. */
-  MultiMap forEndpoint(MultiMap fromCaller, Sending sending);
+  MultiMap endpointHeaders(MultiMap fromCaller, Sending sending);
 
   /** Classifies an endpoint's response by its status and headers. */
-  Answer answer(int status, MultiMap headers, String requestId);
+  Answer classifyAnswer(int status, MultiMap headers, String requestId);
 
   /**
    * Returns the notice in the headers of an endpoint's own response; {@link EndpointNotice#NONE} if
    * it contains none.
    */
-  EndpointNotice notice(int status, MultiMap headers);
+  EndpointNotice readNotice(int status, MultiMap headers);
 
   /**
    * Returns the id or address of the endpoint that a refusal names as the one at fault; empty if it
@@ -39,17 +39,17 @@
   Optional<String> endpointAtFault(MultiMap headers);
 
   /** Returns the headers to send to the caller in place of the endpoint's. */
-  MultiMap forCaller(MultiMap fromEndpoint);
+  MultiMap callerHeaders(MultiMap fromEndpoint);
 
   /** Returns the headers of a refusal by this host. */
-  MultiMap ofRefusal(String requestId, Refusal refusal);
+  MultiMap refusalHeaders(String requestId, Refusal refusal);
 
   /**
    * The parameters of an attempt that its headers carry.
    *
    * @param endpoint the endpoint of the attempt
    * @param workspace the caller's workspace
-   * @param leftMs the time left until the deadline, in milliseconds
+   * @param remainingMs the time left until the deadline, in milliseconds
    * @param urgency from 0, the most urgent, to 9
    * @param lastEventId the last event that the caller has received; 0 to start from the beginning
    * @param helpers the helper engines; none for most requests
@@ -57,7 +57,7 @@
   record Sending(
       Endpoint endpoint,
       String workspace,
-      long leftMs,
+      long remainingMs,
       int urgency,
       long lastEventId,
       List<Helper> helpers) {
@@ -78,12 +78,12 @@
   /** The kind of a response. */
   enum Answer {
     /** A response of the endpoint to this request. */
-    OWN,
+    VALID,
     /** The endpoint did not run the request and will not. */
     NOT_RUN,
     /** A different endpoint uses the address now; it did not run the request. */
-    OTHER_ENDPOINT,
+    WRONG_ENDPOINT,
     /** A response to another request, or a corrupt one; none of its content is reliable. */
-    FOREIGN
+    MISMATCHED
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayContext.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayContext.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package org.fawndrum.transport.relay;
 
-import org.fawndrum.coordination.EndpointRests;
+import org.fawndrum.coordination.RequestedBackoffs;
 import org.fawndrum.internal.log.HostLog;
 import org.fawndrum.transport.HostClock;
 
@@ -21,9 +21,9 @@
 record RelayContext(
     EndpointClient client,
     RelayCodec codec,
-    EngineOrders engineControl,
-    EndpointRests backoffs,
-    EndpointNotices noticeListener,
+    EngineControl engineControl,
+    RequestedBackoffs backoffs,
+    EndpointNoticeListener noticeListener,
     StallWatch stallWatch,
     HostClock clock,
     DecisionLog decisionLog,
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDecoder.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDecoder.java
@@ -28,13 +28,13 @@
    * The entry that an endpoint writes about itself.
    *
    * @param endpoint the endpoint
-   * @param leaving whether it is shutting down
+   * @param draining whether it is shutting down
    * @param sequence increases each time that the endpoint writes its entry
    */
-  record EndpointEntry(Endpoint endpoint, boolean leaving, long sequence) {
+  record EndpointEntry(Endpoint endpoint, boolean draining, long sequence) {
     /** Returns whether another entry is equal apart from the time at which it was written. */
     boolean hasSameContent(EndpointEntry other) {
-      return other != null && endpoint.equals(other.endpoint) && leaving == other.leaving;
+      return other != null && endpoint.equals(other.endpoint) && draining == other.draining;
     }
 
     /** Returns whether the endpoint wrote this entry before another one. */
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.fawndrum.coordination.AwakeTimes;
-import org.fawndrum.coordination.StopWindow;
+import org.fawndrum.coordination.PauseDetector;
+import org.fawndrum.coordination.ShutdownWindow;
 import org.fawndrum.internal.log.HostLog;
 import org.fawndrum.internal.log.LogEvent;
 import org.fawndrum.transport.HostClock;
@@ -47,7 +47,7 @@
   private final RelayDuty decisions;
   private final Consumer<RelayEvent> events;
   private final Supplier<RelayBounds> bounds;
-  private final AwakeTimes awakeTimes;
+  private final PauseDetector awakeTimes;
   private final HostClock clock;
   private final HostLog log;
   private final CompletableFuture<Void> completion = new CompletableFuture<>();
@@ -71,7 +71,7 @@
       RelayDuty decisions,
       Consumer<RelayEvent> events,
       Supplier<RelayBounds> bounds,
-      AwakeTimes awakeTimes,
+      PauseDetector awakeTimes,
       HostClock clock,
       HostLog log) {
     this.vertx = vertx;
@@ -99,10 +99,10 @@
     }
     started = true;
     long startedMs = clock.nowMs();
-    long signaledMs = awakeTimes.earliestMs(startedMs);
+    long signaledMs = awakeTimes.earliestArrivalMs(startedMs);
     log.event(
-        LogEvent.DRAIN_BEGAN, Integer.toString(decisions.openRequests()), startedMs - signaledMs);
-    StopWindow window = StopWindow.from(signaledMs, startedMs, bounds.get().graceMs());
+        LogEvent.DRAIN_STARTED, Integer.toString(decisions.openRequests()), startedMs - signaledMs);
+    ShutdownWindow window = ShutdownWindow.from(signaledMs, startedMs, bounds.get().graceMs());
     events.accept(new RelayEvent.StopSignaled(window));
     vertx.runOnContext(v -> callers.startDraining());
     polledNanos = System.nanoTime();
@@ -110,10 +110,10 @@
     return completion;
   }
 
-  private void poll(long timer, long startedMs, StopWindow window) {
+  private void poll(long timer, long startedMs, ShutdownWindow window) {
     recordDelay(System.nanoTime());
     long nowMs = clock.nowMs();
-    boolean expired = nowMs >= window.endMs(maxDelayMs);
+    boolean expired = nowMs >= window.shutdownMs(maxDelayMs);
     if (!expired && nowMs - startedMs < BALANCER_UPDATE_MS) {
       return;
     }
@@ -137,17 +137,17 @@
    * of the decision duty is handled on the event loop, after the answers that were queued there
    * before it.
    */
-  private void answerOpenRequests(StopWindow window) {
+  private void answerOpenRequests(ShutdownWindow window) {
     events.accept(
         new RelayEvent.DrainEnding(() -> vertx.runOnContext(v -> finalAnswersOrdered = true)));
     vertx.setPeriodic(ANSWERS_POLL_MS, id -> pollAnswers(id, window));
   }
 
-  private void pollAnswers(long timer, StopWindow window) {
+  private void pollAnswers(long timer, ShutdownWindow window) {
     boolean answered = finalAnswersOrdered && callers.busyConnections() == 0;
-    if (answered || clock.nowMs() >= window.goneMs() - FLUSH_MS) {
+    if (answered || clock.nowMs() >= window.exitMs() - FLUSH_MS) {
       vertx.cancelTimer(timer);
-      log.event(LogEvent.DRAIN_ENDED, summary());
+      log.event(LogEvent.DRAIN_COMPLETED, summary());
       vertx.setTimer(FLUSH_MS, id -> complete(window));
     }
   }
@@ -157,16 +157,16 @@
    * callers that have connected meanwhile and would be cut off. A host whose time is over stops
    * reading, and exits when everything that it has read is answered.
    */
-  private void complete(StopWindow window) {
+  private void complete(ShutdownWindow window) {
     callers.closeIdle();
     long nowMs = clock.nowMs();
-    if (callers.connections() == 0 || nowMs >= window.goneMs()) {
+    if (callers.connections() == 0 || nowMs >= window.exitMs()) {
       completion.complete(null);
-    } else if (nowMs < window.endMs(maxDelayMs)) {
+    } else if (nowMs < window.shutdownMs(maxDelayMs)) {
       vertx.setTimer(FLUSH_MS, id -> complete(window));
     } else {
       callers.stopReading();
-      long untilMs = Math.min(nowMs + LAST_ANSWERS_MS + maxDelayMs, window.goneMs() - FLUSH_MS);
+      long untilMs = Math.min(nowMs + LAST_ANSWERS_MS + maxDelayMs, window.exitMs() - FLUSH_MS);
       vertx.setPeriodic(ANSWERS_POLL_MS, id -> pollLastAnswers(id, untilMs));
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
@@ -6,19 +6,19 @@
 import java.util.function.Consumer;
 import org.fawndrum.coordination.Action;
 import org.fawndrum.coordination.Decision;
-import org.fawndrum.coordination.EndpointRoster;
+import org.fawndrum.coordination.EndpointEligibility;
 import org.fawndrum.coordination.Refusal;
 import org.fawndrum.coordination.RefusalKind;
 import org.fawndrum.coordination.RequestCoordinator;
 import org.fawndrum.coordination.crash.CrashFinding;
-import org.fawndrum.coordination.crash.RefusedRequest;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.crash.RejectedRequest;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.internal.duty.Duty;
 import org.fawndrum.internal.duty.Ring;
 import org.fawndrum.internal.log.HostLog;
-import org.fawndrum.internal.log.LineBudget;
 import org.fawndrum.internal.log.LogEvent;
+import org.fawndrum.internal.log.LogRateLimiter;
 import org.fawndrum.state.Endpoint;
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.RouteTable;
@@ -44,20 +44,20 @@
   private static final int MAX_FINDING_LINES_PER_SECOND = 5;
 
   private final RequestCoordinator coordinator;
-  private final EndpointRoster endpointRoster = new EndpointRoster();
+  private final EndpointEligibility endpointRoster = new EndpointEligibility();
   private final HostClock clock;
-  private final Consumer<Action.Announce> updates;
+  private final Consumer<Action.BroadcastWork> updates;
   private final EndpointEventPublisher publisher;
   private final Consumer<Endpoint> incarnationProbe;
   private final HostLog log;
   private final OpenExchanges exchanges;
   private final Duty<RelayEvent> duty;
   private RouteTable routes = RouteTable.NONE;
-  private final LineBudget findingBudget = new LineBudget(MAX_FINDING_LINES_PER_SECOND);
+  private final LogRateLimiter findingBudget = new LogRateLimiter(MAX_FINDING_LINES_PER_SECOND);
   private boolean aborting;
   private volatile int openRequests;
   private volatile long crashSummary;
-  private volatile List<RefusedRequest> refusedRequests = List.of();
+  private volatile List<RejectedRequest> refusedRequests = List.of();
   private volatile int drainingEndpoints;
   private volatile int rejectedRequests;
   private volatile int abortedRequests;
@@ -75,7 +75,7 @@
       RequestCoordinator coordinator,
       HostClock clock,
       Consumer<Decision> decisions,
-      Consumer<Action.Announce> updates,
+      Consumer<Action.BroadcastWork> updates,
       EndpointEventPublisher publisher,
       Consumer<Endpoint> incarnationProbe,
       HostLog log) {
@@ -116,7 +116,7 @@
   }
 
   /** Returns the requests that are rejected because endpoints crash while they have them. */
-  List<RefusedRequest> refusedRequests() {
+  List<RejectedRequest> refusedRequests() {
     return refusedRequests;
   }
 
@@ -153,7 +153,7 @@
     carryOut(coordinator.tick(nowMs));
     publishState();
     long dueMs = Math.min(MAX_IDLE_MS, coordinator.nextCheckMs() - nowMs);
-    return coordinator.waiting() > 0 ? Math.min(WAITING_POLL_MS, dueMs) : dueMs;
+    return coordinator.waitingCount() > 0 ? Math.min(WAITING_POLL_MS, dueMs) : dueMs;
   }
 
   private void handle(RelayEvent event) {
@@ -172,21 +172,21 @@
 
   /** Publishes the state of the coordinator to other threads. */
   private void publishState() {
-    openRequests = coordinator.open();
-    crashSummary = coordinator.suspects().summary();
-    refusedRequests = coordinator.suspects().refused();
+    openRequests = coordinator.openCount();
+    crashSummary = coordinator.suspectedRequests().summary();
+    refusedRequests = coordinator.suspectedRequests().rejected();
   }
 
   private void handle(RelayEvent.RequestEvent event, long nowMs) {
     if (event instanceof RelayEvent.RequestArrived arrived) {
       carryOut(coordinator.arrive(arrived.facts(), nowMs));
     } else if (event instanceof RelayEvent.AttemptChanged changed) {
-      carryOut(coordinator.attempt(changed.attempt(), changed.event(), nowMs));
+      carryOut(coordinator.attemptEvent(changed.attempt(), changed.event(), nowMs));
       if (!coordinator.isOpen(changed.attempt().requestId())) {
         exchanges.remove(changed.attempt().requestId());
       }
     } else if (event instanceof RelayEvent.EndpointCrashed crashed) {
-      carryOut(coordinator.endpointEnded(crashed.attempt(), nowMs));
+      carryOut(coordinator.endpointTerminated(crashed.attempt(), nowMs));
     } else if (event instanceof RelayEvent.HelperRefused refused) {
       carryOut(coordinator.helperRefused(refused.attempt(), refused.helper(), nowMs));
     } else if (event instanceof RelayEvent.CallerGone gone) {
@@ -197,15 +197,15 @@
   private void handle(RelayEvent.PeerEvent event, long nowMs) {
     if (event instanceof RelayEvent.ReportsReceived reported) {
       detectRestarts(reported.reports(), nowMs);
-      carryOut(coordinator.told(reported.reports(), nowMs));
+      carryOut(coordinator.peerWorkReported(reported.reports(), nowMs));
     } else if (event instanceof RelayEvent.DaemonGone gone) {
-      carryOut(coordinator.daemonGone(gone.daemon(), nowMs));
+      carryOut(coordinator.daemonRemoved(gone.daemon(), nowMs));
     } else if (event instanceof RelayEvent.WorkRequested requested) {
-      requested.reply().accept(coordinator.work());
+      requested.reply().accept(coordinator.ownWork());
     } else if (event instanceof RelayEvent.CrashesReceived reported) {
       mergeCrashes(reported.report(), nowMs);
     } else if (event instanceof RelayEvent.CrashesRequested requested) {
-      publisher.sendAllCrashes(requested.daemon(), coordinator.suspects().all());
+      publisher.sendAllCrashes(requested.daemon(), coordinator.suspectedRequests().allUpdates());
     }
   }
 
@@ -214,9 +214,11 @@
    * this host, all crashes are sent.
    */
   private void mergeCrashes(PeerCrashReport reported, long nowMs) {
-    carryOut(coordinator.suspects(suspects -> suspects.heard(reported.crashes(), nowMs), nowMs));
-    if (reported.complete() && reported.summary() != coordinator.suspects().summary()) {
-      publisher.publishCrashes(coordinator.suspects().all());
+    carryOut(
+        coordinator.suspectedRequests(
+            suspects -> suspects.applyUpdate(reported.crashes(), nowMs), nowMs));
+    if (reported.complete() && reported.summary() != coordinator.suspectedRequests().summary()) {
+      publisher.publishCrashes(coordinator.suspectedRequests().allUpdates());
     }
   }
 
@@ -227,10 +229,10 @@
   private void detectRestarts(List<FleetReport> reports, long nowMs) {
     boolean restarted = false;
     for (FleetReport report : reports) {
-      for (EngineNews update : report.news()) {
+      for (EngineUpdate update : report.updates()) {
         restarted |=
-            update instanceof EngineNews.Placed placed
-                && endpointRoster.startedAgain(placed.job().endpoint());
+            update instanceof EngineUpdate.Placed placed
+                && endpointRoster.incarnationReported(placed.job().endpoint());
       }
     }
     if (restarted) {
@@ -241,22 +243,22 @@
   private void handle(RelayEvent.EndpointEvent event, long nowMs) {
     if (event instanceof RelayEvent.RoutesChanged changed) {
       routes = changed.routes();
-      carryOut(coordinator.table(changed.table(), nowMs));
+      carryOut(coordinator.updateTable(changed.table(), nowMs));
       passEndpoints(nowMs);
     } else if (event instanceof RelayEvent.ListingChanged listed) {
-      if (endpointRoster.listed(listed.listing())) {
+      if (endpointRoster.updateListing(listed.listing())) {
         passEndpoints(nowMs);
       }
     } else if (event instanceof RelayEvent.EndpointsShuttingDown shutdowns) {
       shutdownsReported(shutdowns, nowMs);
     } else if (event instanceof RelayEvent.IncarnationProbed probed) {
-      if (endpointRoster.asked(probed.incarnation())) {
+      if (endpointRoster.markVerified(probed.incarnation())) {
         passEndpoints(nowMs);
       }
     } else if (event instanceof RelayEvent.BackoffRequested) {
-      carryOut(coordinator.endpointRests(nowMs));
+      carryOut(coordinator.backoffRequested(nowMs));
     } else if (event instanceof RelayEvent.EndpointRestarted restarted) {
-      if (endpointRoster.startedAgain(restarted.incarnation())) {
+      if (endpointRoster.incarnationReported(restarted.incarnation())) {
         passEndpoints(nowMs);
       }
     }
@@ -269,9 +271,10 @@
    */
   private void shutdownsReported(RelayEvent.EndpointsShuttingDown event, long nowMs) {
     List<HostIdentity> newlyReported =
-        event.endpoints().stream().filter(endpointRoster::saidLeavingInAnswer).toList();
+        event.endpoints().stream().filter(endpointRoster::markDrainingFromAnswer).toList();
     if (!newlyReported.isEmpty()) {
-      newlyReported.forEach(endpoint -> log.event(LogEvent.ENDPOINT_LEAVES, endpoint, event.by()));
+      newlyReported.forEach(
+          endpoint -> log.event(LogEvent.ENDPOINT_DRAINING, endpoint, event.by()));
       passEndpoints(nowMs);
       publisher.publishShutdowns(newlyReported);
     }
@@ -279,13 +282,14 @@
 
   private void handle(RelayEvent.LifecycleEvent event, long nowMs) {
     if (event instanceof RelayEvent.RequestReleased released) {
-      log.event(LogEvent.REQUEST_LET_GO, released.fingerprint());
+      log.event(LogEvent.REJECTION_CLEARED, released.fingerprint());
       carryOut(
-          coordinator.suspects(suspects -> suspects.letGo(released.fingerprint(), nowMs), nowMs));
+          coordinator.suspectedRequests(
+              suspects -> suspects.clearRejection(released.fingerprint(), nowMs), nowMs));
     } else if (event instanceof RelayEvent.StopSignaled signaled) {
-      coordinator.stop(signaled.window());
+      coordinator.beginShutdown(signaled.window());
     } else if (event instanceof RelayEvent.DrainEnding ending) {
-      abortedRequests = coordinator.open();
+      abortedRequests = coordinator.openCount();
       aborting = true;
       carryOut(coordinator.giveUpAll(nowMs));
       aborting = false;
@@ -296,15 +300,18 @@
   /** Passes the endpoints to the coordinator, with the profiles of their services. */
   private void passEndpoints(long nowMs) {
     List<Endpoint> endpoints =
-        endpointRoster.open().stream().map(this::withProfile).flatMap(Optional::stream).toList();
-    drainingEndpoints = endpointRoster.listedLeaving();
-    endpointRoster.takeUnclear().forEach(this::probe);
-    carryOut(coordinator.endpoints(endpoints, nowMs));
-    carryOut(coordinator.restarted(endpointRoster::isOver, nowMs));
+        endpointRoster.eligible().stream()
+            .map(this::withProfile)
+            .flatMap(Optional::stream)
+            .toList();
+    drainingEndpoints = endpointRoster.listedDrainingCount();
+    endpointRoster.takeUnverified().forEach(this::probe);
+    carryOut(coordinator.updateEndpoints(endpoints, nowMs));
+    carryOut(coordinator.endpointsRestarted(endpointRoster::isSuperseded, nowMs));
   }
 
   private void probe(Endpoint endpoint) {
-    log.event(LogEvent.START_UNCLEAR, endpoint.identity());
+    log.event(LogEvent.INCARNATION_UNCERTAIN, endpoint.identity());
     incarnationProbe.accept(endpoint);
   }
 
@@ -316,30 +323,30 @@
     return endpoint.serves().stream()
         .flatMap(name -> routes.service(name).stream())
         .findFirst()
-        .map(endpoint::describedBy);
+        .map(endpoint::withProfile);
   }
 
   private void carryOut(List<Action> actions) {
     for (Action action : actions) {
-      if (action instanceof Action.Announce announce) {
+      if (action instanceof Action.BroadcastWork announce) {
         updates.accept(announce);
-      } else if (action instanceof Action.TellCrashes update) {
-        publisher.publishCrashes(update.news());
-        update.news().refused().forEach(this::logRefused);
+      } else if (action instanceof Action.BroadcastCrashes update) {
+        publisher.publishCrashes(update.update());
+        update.update().rejected().forEach(this::logRefused);
       }
     }
-    coordinator.suspects().takeFindings().forEach(this::logFinding);
+    coordinator.suspectedRequests().takeFindings().forEach(this::logFinding);
     exchanges.carryOut(actions, this::countRefusal, true);
   }
 
-  private void logRefused(RefusedRequest refused) {
+  private void logRefused(RejectedRequest refused) {
     String endpoints = String.join(" ", refused.endpoints());
-    log.event(LogEvent.REQUEST_ENDS_ENDPOINTS, refused.request(), endpoints);
+    log.event(LogEvent.REQUEST_CRASHES_ENDPOINTS, refused.request(), endpoints);
   }
 
   private void logFinding(CrashFinding finding) {
-    if (findingBudget.take(clock.nowMs())) {
-      log.event(LogEvent.REQUEST_NOT_TURNED_AWAY, finding.request(), finding.text());
+    if (findingBudget.tryAcquire(clock.nowMs())) {
+      log.event(LogEvent.REQUEST_NOT_REJECTED, finding.request(), finding.text());
     }
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayEvent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayEvent.java
@@ -6,8 +6,8 @@
 import org.fawndrum.coordination.AttemptEvent;
 import org.fawndrum.coordination.AttemptId;
 import org.fawndrum.coordination.RequestFacts;
-import org.fawndrum.coordination.StopWindow;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.ShutdownWindow;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
@@ -60,7 +60,7 @@
   record CrashesRequested(HostAddress daemon) implements PeerEvent {}
 
   /** All the work of this host is to be reported to other daemons. */
-  record WorkRequested(Consumer<List<EngineNews>> reply) implements PeerEvent {}
+  record WorkRequested(Consumer<List<EngineUpdate>> reply) implements PeerEvent {}
 
   /** The list of endpoints changed. */
   record ListingChanged(HostListing listing) implements EndpointEvent {}
@@ -86,7 +86,7 @@
   record RequestReleased(String fingerprint) implements LifecycleEvent {}
 
   /** This host received the stop signal. */
-  record StopSignaled(StopWindow window) implements LifecycleEvent {}
+  record StopSignaled(ShutdownWindow window) implements LifecycleEvent {}
 
   /**
    * The drain of this host ends now; all open requests receive their final answers.
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayExchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayExchange.java
@@ -53,14 +53,14 @@
   }
 
   @Override
-  public void onLoop(Runnable step) {
+  public void runOnLoop(Runnable step) {
     context.runOnContext(v -> step.run());
   }
 
   @Override
   public void send(Action.Send send) {
     if (finished || callerDisconnected.getAsBoolean()) {
-      attemptListener.happened(send.attempt(), AttemptEvent.CONNECT_FAILED);
+      attemptListener.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
     PromptMemory memory =
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public boolean everHandedOver() {
+  public boolean anyRequestSent() {
     return handedOver;
   }
 
@@ -99,12 +99,12 @@
     }
     if (answer.status() >= RelayAttempt.MIN_FAILURE_STATUS && call.route().repeatable()) {
       failedAnswer = answer;
-      attemptListener.happened(attempt.id(), AttemptEvent.FAILED_BY_ENDPOINT);
+      attemptListener.onEvent(attempt.id(), AttemptEvent.FAILED_BY_ENDPOINT);
       return;
     }
     finished = true;
     sendAnswer(answer);
-    attemptListener.happened(attempt.id(), AttemptEvent.ANSWERED);
+    attemptListener.onEvent(attempt.id(), AttemptEvent.ANSWERED);
   }
 
   /** Returns whether the caller still receives the data of an attempt. */
@@ -115,7 +115,7 @@
   /** Sets the status and headers of a stream's answer, unless an earlier attempt did. */
   private void setHead(RelayAttempt attempt) {
     if (!response.headWritten()) {
-      response.headers().addAll(relay.codec().forCaller(attempt.answerHeaders()));
+      response.headers().addAll(relay.codec().callerHeaders(attempt.answerHeaders()));
       response.setStatusCode(attempt.answerStatus()).setChunked(true);
     }
   }
@@ -124,7 +124,7 @@
     if (response.closed() || response.ended()) {
       return;
     }
-    response.headers().addAll(relay.codec().forCaller(answer.headers()));
+    response.headers().addAll(relay.codec().callerHeaders(answer.headers()));
     response.setStatusCode(answer.status()).end(answer.body());
   }
 
@@ -143,7 +143,7 @@
     streamPace.recordEvent(relay.clock().nowMs());
     if (attempt != answeringAttempt) {
       answeringAttempt = attempt;
-      attemptListener.happened(attempt.id(), AttemptEvent.ANSWERING);
+      attemptListener.onEvent(attempt.id(), AttemptEvent.ANSWERING);
     }
     return true;
   }
@@ -159,7 +159,7 @@
     relay
         .decisionLog()
         .streamCompleted(call.request().requestId(), streamPace, attempt.endpointName());
-    attemptListener.happened(attempt.id(), AttemptEvent.ANSWERED);
+    attemptListener.onEvent(attempt.id(), AttemptEvent.ANSWERED);
   }
 
   @Override
@@ -174,12 +174,12 @@
 
   @Override
   public void stalled(RelayAttempt attempt) {
-    attemptListener.happened(attempt.id(), AttemptEvent.STALLED);
+    attemptListener.onEvent(attempt.id(), AttemptEvent.STALLED);
   }
 
   @Override
   public void failed(RelayAttempt attempt, AttemptEvent event) {
-    attemptListener.happened(attempt.id(), event);
+    attemptListener.onEvent(attempt.id(), event);
   }
 
   @Override
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayIntake.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayIntake.java
@@ -108,8 +108,8 @@
   }
 
   private Workspace workspace(RouteTable table, Route route, RelayRequest request) {
-    if (route.open() || !table.needsKeys()) {
-      return Workspace.ANYBODY;
+    if (route.allowsAnonymous() || !table.needsKeys()) {
+      return Workspace.ANONYMOUS;
     }
     Workspace workspace = request.key().map(table.workspaces()::get).orElse(null);
     if (workspace == null) {
@@ -136,12 +136,12 @@
         new CallerGroup(workspace.name(), route.name()),
         new RequestTarget(kind, service),
         kind == EndpointKind.MODEL ? request.promptTokens() : 0,
-        kind == EndpointKind.MODEL ? request.answerTokens() : 0,
+        kind == EndpointKind.MODEL ? request.maxAnswerTokens() : 0,
         incoming.arrivedMs(),
-        request.wantedMs(),
+        request.timeoutMs(),
         route.repeatable(),
         request.prefixes(),
-        route.aims(),
+        route.latencyTargets(),
         content);
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayRefusals.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayRefusals.java
@@ -40,7 +40,7 @@
     if (response.ended() || response.closed() || response.headWritten()) {
       return;
     }
-    response.headers().addAll(codec.ofRefusal(requestId, refusal));
+    response.headers().addAll(codec.refusalHeaders(requestId, refusal));
     response
         .setStatusCode(status(refusal))
         .putHeader("content-type", "application/json")
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayRequest.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayRequest.java
@@ -9,10 +9,10 @@
  *
  * @param requestId the caller's id for this request
  * @param key the caller's key, if it sent one
- * @param wantedMs how long the caller waits for the answer, in milliseconds; 0 if it did not
+ * @param timeoutMs how long the caller waits for the answer, in milliseconds; 0 if it did not
  *     specify it
  * @param promptTokens the length of the prompt in tokens; 0 for a plain request
- * @param answerTokens the maximum length of the answer in tokens; 0 for a plain request
+ * @param maxAnswerTokens the maximum length of the answer in tokens; 0 for a plain request
  * @param prefixes the ids of the prompt segments, in order
  * @param lastEventId the id of the last event that the caller has received; 0 to start from the
  *     beginning
@@ -20,9 +20,9 @@
 public record RelayRequest(
     String requestId,
     Optional<String> key,
-    long wantedMs,
+    long timeoutMs,
     long promptTokens,
-    long answerTokens,
+    long maxAnswerTokens,
     List<Long> prefixes,
     long lastEventId) {
   /** Copies the list, so that the record is immutable. */
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayRuntime.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayRuntime.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.fawndrum.coordination.Action;
-import org.fawndrum.coordination.EndpointRests;
 import org.fawndrum.coordination.Policies;
 import org.fawndrum.coordination.RequestCoordinator;
-import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.RequestedBackoffs;
+import org.fawndrum.coordination.crash.CrashUpdate;
 import org.fawndrum.coordination.membership.FleetMember;
 import org.fawndrum.errors.AddressUnavailableException;
 import org.fawndrum.internal.log.HostLog;
-import org.fawndrum.internal.log.LineBudget;
 import org.fawndrum.internal.log.LogEvent;
+import org.fawndrum.internal.log.LogRateLimiter;
 import org.fawndrum.protocol.wire.KnowledgeRequest;
 import org.fawndrum.protocol.wire.PeerMessage;
 import org.fawndrum.settings.ListenSettings;
@@ -60,8 +60,8 @@
   private final StallWatch stallWatch;
   private final IncarnationGuard engineControl;
   private final IncarnationProbes incarnationProbes;
-  private final EndpointRests backoffs = new EndpointRests();
-  private final LineBudget noticeBudget = new LineBudget(MAX_NOTICE_LINES_PER_SECOND);
+  private final RequestedBackoffs backoffs = new RequestedBackoffs();
+  private final LogRateLimiter noticeBudget = new LogRateLimiter(MAX_NOTICE_LINES_PER_SECOND);
   private volatile long listingVersion = -1;
   private volatile long listedAtMs;
 
@@ -94,7 +94,7 @@
             self,
             settings.zone(),
             Policies.engineModel(retries.budget(), this::manyDaemons, this::silentZones)
-                .hearing(this::allPeersActive),
+                .withAllHostsReporting(this::allPeersActive),
             backoffs);
     MetricRegistry registry = new MetricRegistry();
     this.decisionLog =
@@ -116,12 +116,12 @@
     this.network = new NettyPeerNetwork(peers, receiver, log);
     this.fleet = newFleet();
     this.stallWatch = new StallWatch(vertx, clock);
-    this.engineControl = new IncarnationGuard(adapter.orders(), this::restarted);
-    this.engineControl.hearNotices(this::noticeReceived);
+    this.engineControl = new IncarnationGuard(adapter.engineControl(), this::restarted);
+    this.engineControl.setNoticeListener(this::noticeReceived);
     this.incarnationProbes = new IncarnationProbes(vertx, engineControl, this::incarnationProbed);
     this.callers = callerServer(adapter);
     this.drain = newDrain();
-    this.readiness = new ReadinessServer(vertx, settings.readiness(), this::ready);
+    this.readiness = new ReadinessServer(vertx, settings.readiness(), this::isReady);
     this.store =
         new StoreReader(
             vertx, adapter, routes, this::bounds, this::isLeader, this::applyListing, clock, log);
@@ -171,14 +171,14 @@
   /** Passes the decision duty's findings about endpoints to the fleet duty. */
   private final class FleetPublisher implements EndpointEventPublisher {
     @Override
-    public void publishCrashes(CrashNews crashes) {
-      if (crashes.hops() <= CrashNews.MOST_HOPS) {
+    public void publishCrashes(CrashUpdate crashes) {
+      if (crashes.hops() <= CrashUpdate.MAX_HOPS) {
         fleet.offer(new FleetEvent.EndpointCrashes(Optional.empty(), crashes));
       }
     }
 
     @Override
-    public void sendAllCrashes(HostAddress to, CrashNews all) {
+    public void sendAllCrashes(HostAddress to, CrashUpdate all) {
       fleet.offer(new FleetEvent.EndpointCrashes(Optional.of(to), all));
     }
 
@@ -236,9 +236,9 @@
    * quarantine, but no addresses.
    */
   public void reload(RelaySettings newer) {
-    List<String> previous = settings.letGo();
+    List<String> previous = settings.clearedFingerprints();
     settings = newer;
-    newer.letGo().stream()
+    newer.clearedFingerprints().stream()
         .filter(fingerprint -> !previous.contains(fingerprint))
         .forEach(fingerprint -> events.accept(new RelayEvent.RequestReleased(fingerprint)));
   }
@@ -258,7 +258,7 @@
     registry.registerGauge("endpointsAgeMs", () -> clock.nowMs() - listedAtMs);
     registry.registerGauge("unusableEntries", () -> store.endpoints().unusableCount());
     registry.registerGauge("leavingEndpoints", decisions::drainingEndpoints);
-    registry.registerGauge("restingEndpoints", () -> backoffs.count(clock.nowMs()));
+    registry.registerGauge("restingEndpoints", () -> backoffs.activeCount(clock.nowMs()));
     registry.registerGauge("openRequests", decisions::openRequests);
     registry.registerGauge("refusedRequests", () -> decisions.refusedRequests().size());
     registry.registerGauge("decisionsRingFill", decisions::queuedEvents);
@@ -266,14 +266,14 @@
     registry.registerGauge("peerBytesSent", network::bytesSent);
     registry.registerGauge("attemptsHoldingMemory", stallWatch::attemptsWithMemory);
     registry.registerGauge("longestSilenceMs", stallWatch::longestSilenceMs);
-    registry.registerGauge("peers", this::peers);
+    registry.registerGauge("peers", this::livePeerCount);
   }
 
   private void offerToFleet(FleetEvent event) {
     fleet.offer(event);
   }
 
-  private void announce(Action.Announce update) {
+  private void announce(Action.BroadcastWork update) {
     fleet.announce(update);
   }
 
@@ -315,12 +315,12 @@
   }
 
   /** Returns whether this host accepts callers: it has the required state and is not draining. */
-  public boolean ready() {
+  public boolean isReady() {
     return !drain.started() && hasState() && isConfigurationUsable();
   }
 
   /** Returns the number of live peers. */
-  public int peers() {
+  public int livePeerCount() {
     return fleet.livePeers().size();
   }
 
@@ -346,14 +346,14 @@
   }
 
   private void noticeReceived(HostIdentity endpoint, EndpointNotice notice) {
-    if (noticeBudget.take(clock.nowMs())) {
-      log.event(LogEvent.ENDPOINT_NOTICE, endpoint, notice.leaving(), notice.restMs());
+    if (noticeBudget.tryAcquire(clock.nowMs())) {
+      log.event(LogEvent.ENDPOINT_NOTICE, endpoint, notice.draining(), notice.backoffMs());
     }
-    if (notice.restMs() > 0) {
-      backoffs.asked(endpoint, notice.restMs(), clock.nowMs());
+    if (notice.backoffMs() > 0) {
+      backoffs.requested(endpoint, notice.backoffMs(), clock.nowMs());
       events.accept(new RelayEvent.BackoffRequested());
     }
-    if (notice.leaving()) {
+    if (notice.draining()) {
       events.accept(new RelayEvent.EndpointsShuttingDown(List.of(endpoint), "itself"));
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayServer.java
@@ -26,7 +26,7 @@
 import org.fawndrum.transport.BodyReader;
 import org.fawndrum.transport.HostClock;
 import org.fawndrum.transport.IdleConnections;
-import org.fawndrum.transport.UnreadableHead;
+import org.fawndrum.transport.MalformedRequestHead;
 
 /**
  * The HTTP server for callers. Reads complete requests within the limits of the configuration in
@@ -116,7 +116,9 @@
     this.hasState = hasState;
     this.idleConnections =
         new IdleConnections(
-            vertx, () -> limits().idleMs(), () -> draining ? DRAINING_IDLE_MS : limits().idleMs());
+            vertx,
+            () -> limits().idleTimeoutMs(),
+            () -> draining ? DRAINING_IDLE_MS : limits().idleTimeoutMs());
   }
 
   private CallerLimits limits() {
@@ -220,13 +222,13 @@
   }
 
   private void refuseInvalid(HttpServerRequest request) {
-    RefusalKind kind = UnreadableHead.kind(request);
+    RefusalKind kind = MalformedRequestHead.refusalKind(request);
     refuseAndClose(request, "", Refusal.notRun(kind));
   }
 
   private void handle(HttpServerRequest http) {
     HttpConnection connection = http.connection();
-    idleConnections.began(connection);
+    idleConnections.requestStarted(connection);
     unusedSinceMs.remove(connection);
     requestsInProgress.merge(connection, 1, Integer::sum);
     http.response()
@@ -234,7 +236,7 @@
             v -> {
               requestsInProgress.computeIfPresent(
                   connection, (key, count) -> Math.max(0, count - 1));
-              idleConnections.ended(connection);
+              idleConnections.requestCompleted(connection);
             });
     http.response()
         .headersEndHandler(
@@ -248,7 +250,7 @@
     RelayRequest request;
     try {
       checkHeaders(http);
-      request = codec.read(http.headers());
+      request = codec.readRequest(http.headers());
     } catch (RefusedException e) {
       refuseAndClose(http, e.requestId(), e.refusal());
       return;
@@ -261,14 +263,14 @@
     for (Map.Entry<String, String> header : http.headers()) {
       bytes += header.getKey().length() + header.getValue().length() + HEADER_SEPARATOR_BYTES;
     }
-    if (bytes > limits().headerBytes()) {
+    if (bytes > limits().maxHeaderBytes()) {
       throw new RefusedException("", Refusal.notRun(RefusalKind.HEADERS_TOO_LARGE));
     }
   }
 
   private void readBody(
       HttpServerRequest http, RelayRequest request, long arrivedMs, Context context) {
-    new BodyReader(vertx, limits().bodyBytes(), limits().headerMs())
+    new BodyReader(vertx, limits().maxBodyBytes(), limits().headerTimeoutMs())
         .read(http, request.requestId())
         .thenAccept(
             body -> acceptWhenReady(new IncomingRequest(http, request, body, arrivedMs, context)))
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelaySettings.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelaySettings.java
@@ -17,8 +17,8 @@
  * @param linkMegabits the capacity of the host's network link, in megabits a second
  * @param seeds addresses of hosts that may know other daemons
  * @param bounds the limits that operators guarantee or permit
- * @param letGo fingerprints of requests that are released from quarantine; the metrics server lists
- *     the rejected requests
+ * @param clearedFingerprints fingerprints of requests that are released from quarantine; the
+ *     metrics server lists the rejected requests
  * @param debugLog whether each decision is logged
  */
 public record RelaySettings(
@@ -32,12 +32,12 @@
     double linkMegabits,
     List<HostAddress> seeds,
     RelayBounds bounds,
-    List<String> letGo,
+    List<String> clearedFingerprints,
     boolean debugLog) {
   /** Copies the lists, so that the settings are immutable. */
   public RelaySettings {
     seeds = List.copyOf(seeds);
-    letGo = List.copyOf(letGo);
+    clearedFingerprints = List.copyOf(clearedFingerprints);
   }
 
   /** Returns the seeds except this host. */
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ReadRelaySettings.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelaySettingsReader.java
@@ -11,7 +11,7 @@
 import org.fawndrum.state.HostAddress;
 
 /** Reads and validates the settings file of a daemon that relays requests. */
-public final class ReadRelaySettings {
+public final class RelaySettingsReader {
   private static final long MAX_MS = 3_600_000;
   private static final long MAX_S = 3_600;
   private static final long MS_PER_SECOND = 1_000;
@@ -24,7 +24,7 @@
   private final List<SettingsFault> faults = new ArrayList<>();
 
   /** Creates a reader of one file. */
-  public ReadRelaySettings(Path file) {
+  public RelaySettingsReader(Path file) {
     this.file = file;
   }
 
@@ -33,7 +33,7 @@
    *
    * @throws BadSettingsException if the settings are invalid; lists all faults
    */
-  public RelaySettings call() {
+  public RelaySettings read() {
     SettingsNode root = new SettingsNode("", SettingsFile.tree(file), faults);
     HostAddress peers = root.address("peers");
     RelaySettings settings =
@@ -52,7 +52,7 @@
             bounds(root.object("bounds")),
             root.texts("letGo", FINGERPRINT, "write a fingerprint of 32 hexadecimal digits"),
             root.flag("debug", false));
-    root.finish();
+    root.reportUnknownKeys();
     if (!faults.isEmpty()) {
       throw new BadSettingsException(file.toString(), faults);
     }
@@ -70,7 +70,7 @@
             node.fraction("retrySlack", 0, MAX_RETRIES),
             node.number("retryWindowS", 1, MAX_S) * MS_PER_SECOND,
             node.number("streamPassMs", 1, MAX_MS));
-    node.finish();
+    node.reportUnknownKeys();
     return bounds;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ReliableEventSink.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ReliableEventSink.java
@@ -27,7 +27,7 @@
   @Override
   public void accept(RelayEvent event) {
     if (!decisions.offer(event)) {
-      log.event(LogEvent.RING_REFUSED, "decisions");
+      log.event(LogEvent.EVENT_RING_FULL, "decisions");
       vertx.setTimer(RETRY_MS, id -> accept(event));
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ReportBuffer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ReportBuffer.java
@@ -29,7 +29,7 @@
 
   /** Adds reports. Complete reports only confirm known state and can wait. */
   void add(List<FleetReport> more, long nowMs) {
-    boolean changed = more.stream().anyMatch(report -> !report.whole());
+    boolean changed = more.stream().anyMatch(report -> !report.complete());
     if (changed && !hasChanges) {
       hasChanges = true;
       changesSinceMs = nowMs;
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RouteRows.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RouteRows.java
@@ -11,8 +11,8 @@
 import org.fawndrum.state.Route;
 import org.fawndrum.state.RouteTable;
 import org.fawndrum.state.Row;
-import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
+import org.fawndrum.state.TableRevisionBuilder;
 import org.fawndrum.state.Workspace;
 
 /** Converts routes into the rows of a table: one for each workspace and route. */
@@ -26,9 +26,9 @@
 
   /** Returns the table of a revision of the routes. */
   static TableRevision of(RouteTable routes) {
-    TableParts parts = new TableParts(routes.revision(), routes.revision());
+    TableRevisionBuilder parts = new TableRevisionBuilder(routes.revision(), routes.revision());
     Set<Workspace> workspaces = new HashSet<>(routes.workspaces().values());
-    workspaces.add(Workspace.ANYBODY);
+    workspaces.add(Workspace.ANONYMOUS);
     for (Route route : routes.routes()) {
       // Workspaces of the same rank share a row, so that many workspaces need little memory.
       Map<Integer, Row> byRank = new HashMap<>();
--- a/org.fawndrum/src/org/fawndrum/transport/relay/SettingsWatch.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/SettingsWatch.java
@@ -54,7 +54,7 @@
       return Files.getLastModifiedTime(file).toMillis();
     } catch (IOException e) {
       // A file that is being replaced is checked again with the next poll.
-      log.event(LogEvent.SETTINGS_UNREADABLE, String.valueOf(e));
+      log.event(LogEvent.SETTINGS_NOT_LOADED, String.valueOf(e));
       return lastModifiedMs;
     }
   }
@@ -63,16 +63,16 @@
   public void read() {
     lastModifiedMs = modifiedMs();
     try {
-      RelaySettings newer = new ReadRelaySettings(file).call();
+      RelaySettings newer = new RelaySettingsReader(file).read();
       if (newer.equals(inForce)) {
         log.event(LogEvent.SETTINGS_UNCHANGED);
         return;
       }
       inForce = newer;
       onChange.accept(newer);
-      log.event(LogEvent.SETTINGS_CHANGED);
+      log.event(LogEvent.SETTINGS_RELOADED);
     } catch (BadSettingsException e) {
-      log.event(LogEvent.SETTINGS_UNREADABLE, e.getMessage());
+      log.event(LogEvent.SETTINGS_NOT_LOADED, e.getMessage());
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/StallWatch.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/StallWatch.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.fawndrum.coordination.AwakeTimes;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.coordination.PauseDetector;
+import org.fawndrum.state.LatencyTargets;
 import org.fawndrum.transport.HostClock;
 
 /**
@@ -42,7 +42,7 @@
   private static final long NEXT_EVENT_PAUSES = 5;
 
   private final HostClock clock;
-  private final AwakeTimes awakeTimes = new AwakeTimes(POLL_MS);
+  private final PauseDetector awakeTimes = new PauseDetector(POLL_MS);
   private final Set<RelayAttempt> attempts = new LinkedHashSet<>();
   private volatile int attemptsWithMemory;
   private volatile long longestSilenceMs;
@@ -74,12 +74,12 @@
   }
 
   /** Returns the times at which this host polled, and so was running; thread-safe. */
-  AwakeTimes awakeTimes() {
+  PauseDetector awakeTimes() {
     return awakeTimes;
   }
 
   private void poll() {
-    awakeTimes.looked(clock.nowMs());
+    awakeTimes.recordTick(clock.nowMs());
     attemptsWithMemory = (int) attempts.stream().filter(RelayAttempt::hasReservedMemory).count();
     longestSilenceMs =
         attempts.stream()
@@ -103,12 +103,12 @@
   }
 
   /** Returns whether silence alone never ends an attempt before its first event. */
-  static boolean isFirstEventUnlimited(RequestAims targets) {
+  static boolean isFirstEventUnlimited(LatencyTargets targets) {
     return limitMs(targets, false) == Long.MAX_VALUE;
   }
 
   /** Returns how long an attempt may be silent, in milliseconds. */
-  static long limitMs(RequestAims targets, boolean hasFirstEvent) {
+  static long limitMs(LatencyTargets targets, boolean hasFirstEvent) {
     if (hasFirstEvent) {
       return Math.max(MIN_NEXT_EVENT_MS, NEXT_EVENT_PAUSES * targets.pauseMs());
     }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/TopicFollower.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/TopicFollower.java
@@ -140,10 +140,10 @@
   private void pageReceived(KeyedPage page, boolean snapshot, long queriedMs, long waitMs) {
     reportAvailable();
     retryMs = FIRST_RETRY_MS;
-    if (!snapshot && page.era() > next.era()) {
+    if (!snapshot && page.epoch() > next.epoch()) {
       // Offsets of different epochs are not comparable, so the records before this page are
       // unknown.
-      hostLog.event(LogEvent.STORE_WENT_BACK, topic, next.era(), page.era());
+      hostLog.event(LogEvent.STORE_RESTORED, topic, next.epoch(), page.epoch());
       next = StorePosition.NONE;
       queryAfter(REREAD_DELAY_MS);
       return;
@@ -167,7 +167,7 @@
   private void reportAvailable() {
     if (unavailable) {
       unavailable = false;
-      hostLog.event(LogEvent.PLATFORM_BACK);
+      hostLog.event(LogEvent.PLATFORM_AVAILABLE);
       reader.storeAvailable();
     }
   }
@@ -186,14 +186,14 @@
     if (cause instanceof RecordsExpiredException) {
       // The missed records have expired; the newest record of every key contains all that is
       // needed.
-      hostLog.event(LogEvent.STORE_GAP, topic, Long.toString(next.offset()));
+      hostLog.event(LogEvent.STORE_RECORDS_EXPIRED, topic, Long.toString(next.offset()));
       next = StorePosition.NONE;
       queryAfter(REREAD_DELAY_MS);
       return;
     }
     if (!unavailable) {
       unavailable = true;
-      hostLog.event(LogEvent.PLATFORM_LOST, String.valueOf(cause));
+      hostLog.event(LogEvent.PLATFORM_UNAVAILABLE, String.valueOf(cause));
     }
     queryAfter(retryMs);
     retryMs = Math.min(schedule.maxRetryMs(), retryMs * 2);
--- a/org.fawndrum/tst/org/fawndrum/coordination/AnswerAssemblerTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/AnswerAssemblerTest.java
@@ -40,11 +40,11 @@
     AnswerAssembler assembler = new AnswerAssembler();
     StringBuilder delivered = new StringBuilder();
     Result last = Result.NOTHING;
-    for (int number = 1; number <= 4 && last != Result.WHOLE; number++) {
+    for (int number = 1; number <= 4 && last != Result.COMPLETE; number++) {
       last = runAttempt(random, assembler, number, count, delivered);
     }
     assertTrue(wholeAnswer(count).startsWith(delivered.toString()), delivered.toString());
-    if (last == Result.WHOLE) {
+    if (last == Result.COMPLETE) {
       assertEquals(wholeAnswer(count), delivered.toString());
     }
   }
@@ -76,11 +76,11 @@
         result = assembler.end(attempt, count);
       }
       assembler.takeReady().forEach(delivered::append);
-      if (result == Result.WHOLE || result == Result.CUT) {
+      if (result == Result.COMPLETE || result == Result.TRUNCATED) {
         return result;
       }
     }
-    return Result.CUT;
+    return Result.TRUNCATED;
   }
 
   @Test
@@ -98,7 +98,7 @@
     assembler.begin(attempt(1));
     assertEquals(Result.NOTHING, assembler.end(attempt(1), 2));
     assembler.chunk(attempt(1), 0, "a");
-    assertEquals(Result.WHOLE, assembler.chunk(attempt(1), 1, "b"));
+    assertEquals(Result.COMPLETE, assembler.chunk(attempt(1), 1, "b"));
   }
 
   @Test
@@ -107,7 +107,7 @@
     assembler.begin(attempt(1));
     assembler.chunk(attempt(1), 0, "a");
     assembler.chunk(attempt(1), 1, "b");
-    assertEquals(Result.CUT, assembler.end(attempt(1), 1));
+    assertEquals(Result.TRUNCATED, assembler.end(attempt(1), 1));
   }
 
   @Test
@@ -118,6 +118,6 @@
     for (long at = 1; at <= AnswerAssembler.MAX_BUFFERED + 1; at++) {
       result = assembler.chunk(attempt(1), at, "x");
     }
-    assertEquals(Result.CUT, result);
+    assertEquals(Result.TRUNCATED, result);
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/AttemptTransitionsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/AttemptTransitionsTest.java
@@ -21,7 +21,7 @@
       sending |= event == AttemptEvent.SENDING && !state.ended();
       reportedNotRun |=
           event == AttemptEvent.CONNECT_FAILED || event == AttemptEvent.REFUSED_BY_ENDPOINT;
-      reportedNotRun |= event == AttemptEvent.ENDPOINT_RESTS;
+      reportedNotRun |= event == AttemptEvent.ENDPOINT_BACKOFF;
       state = AttemptTransitions.next(state, event);
       wasRunning |= state == AttemptState.RUNNING;
       if (state.ran() == Ran.NO) {
--- a/org.fawndrum/tst/org/fawndrum/coordination/CoordinatorHistoryTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/CoordinatorHistoryTest.java
@@ -22,7 +22,7 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.Publication;
-import org.fawndrum.state.ReplayPublication;
+import org.fawndrum.state.PublicationReplay;
 import org.fawndrum.state.TableRevision;
 
 /**
@@ -65,7 +65,7 @@
             default -> Policies.firstComeLeastInFlight();
           };
       coordinator = new RequestCoordinator(SELF, "z", policies);
-      coordinator.table(table(), nowMs);
+      coordinator.updateTable(table(), nowMs);
       updateEndpoints();
     }
 
@@ -79,8 +79,8 @@
               Column.TOKENS_PER_SECOND, "2000000");
       cells.forEach(
           (column, value) -> changes.add(new CellChange(new CellKey(GROUP, column), value)));
-      return new ReplayPublication(TableRevision.EMPTY, 0, new Publication("p", "ana", -1, changes))
-          .call();
+      return new PublicationReplay(TableRevision.EMPTY, 0, new Publication("p", "ana", -1, changes))
+          .apply();
     }
 
     private void updateEndpoints() {
@@ -98,7 +98,7 @@
                   100_000));
         }
       }
-      apply(coordinator.endpoints(endpoints, nowMs));
+      apply(coordinator.updateEndpoints(endpoints, nowMs));
     }
 
     void run() {
@@ -116,15 +116,16 @@
       }
       long graceMs = random.nextInt(12_000);
       long orderedMs = nowMs;
-      StopWindow window = StopWindow.from(orderedMs, graceMs);
-      coordinator.stop(window);
-      while (nowMs < window.endMs()) {
+      ShutdownWindow window = ShutdownWindow.from(orderedMs, graceMs);
+      coordinator.beginShutdown(window);
+      while (nowMs < window.shutdownMs()) {
         step();
       }
       for (String id : everSent) {
         long arrivedMs = arrived.get(id);
         assertTrue(
-            arrivedMs < orderedMs + graceMs * 3 / 8 || arrivedMs + DEADLINE_MS < window.endMs(),
+            arrivedMs < orderedMs + graceMs * 3 / 8
+                || arrivedMs + DEADLINE_MS < window.shutdownMs(),
             id + " was accepted and may not complete in time");
       }
       apply(coordinator.giveUpAll(nowMs));
@@ -154,8 +155,8 @@
 
     private void assertNothingLeft() {
       assertEquals(arrived.keySet(), completed);
-      assertEquals(0, coordinator.open());
-      assertEquals(0, coordinator.waiting());
+      assertEquals(0, coordinator.openCount());
+      assertEquals(0, coordinator.waitingCount());
     }
 
     private void arrive() {
@@ -184,7 +185,7 @@
       }
       boolean reportedNotRun =
           event == AttemptEvent.CONNECT_FAILED
-              || event == AttemptEvent.ENDPOINT_RESTS
+              || event == AttemptEvent.ENDPOINT_BACKOFF
               || event == AttemptEvent.REFUSED_BY_ENDPOINT;
       boolean started = inFlight.get(id) == null;
       if (reportedNotRun && !started) {
@@ -196,7 +197,7 @@
         // A stalled attempt continues until it is cancelled.
         inFlight.remove(id);
       }
-      apply(coordinator.attempt(id, event, nowMs));
+      apply(coordinator.attemptEvent(id, event, nowMs));
     }
 
     private void callerGone() {
--- a/org.fawndrum/tst/org/fawndrum/coordination/DecisionRecorderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/DecisionRecorderTest.java
@@ -24,7 +24,8 @@
   private static final RequestTarget TARGET = new RequestTarget(EndpointKind.MODEL, "pool");
   private static final RequestFacts FACTS =
       new RequestFacts("r-1", GROUP, TARGET, 5_000, 100, 1_000, 0, true, List.of());
-  private static final List<PassedOver> PASSED_OVER = List.of(new PassedOver("engine-3", 90));
+  private static final List<PassedOverEndpoint> PASSED_OVER =
+      List.of(new PassedOverEndpoint("engine-3", 90));
 
   private final List<Action> actions = new ArrayList<>();
   private final DecisionRecorder recorder = new DecisionRecorder(actions);
@@ -48,7 +49,7 @@
             1_000,
             Optional.empty()),
         1,
-        new EndpointRests());
+        new RequestedBackoffs());
   }
 
   private OpenRequest.Attempt attempt() {
@@ -56,8 +57,8 @@
         new AttemptId(new HostIdentity("host-1", 1), "r-1", 2), choice, 1_040);
   }
 
-  private static Optional<Reading> prefill(long tookMs) {
-    return Optional.of(new Reading(List.of(name(1), name(2)), 70, tookMs));
+  private static Optional<Prefill> prefill(long tookMs) {
+    return Optional.of(new Prefill(List.of(name(1), name(2)), 70, tookMs));
   }
 
   private static String name(int number) {
@@ -73,8 +74,8 @@
       int attempt,
       Optional<CellKey> cell,
       Optional<Refusal> refusal,
-      List<PassedOver> passedOver,
-      Optional<Reading> prefill) {
+      List<PassedOverEndpoint> passedOver,
+      Optional<Prefill> prefill) {
     Decision expected =
         new Decision(
             "r-1",
@@ -91,7 +92,7 @@
             refusal,
             passedOver,
             prefill);
-    assertEquals(List.of(new Action.Explain(expected)), actions);
+    assertEquals(List.of(new Action.RecordDecision(expected)), actions);
   }
 
   /** Checks the only record, which has no endpoint. */
@@ -142,7 +143,7 @@
         Optional.of(new CellKey(GROUP, Column.SHARE)),
         Optional.empty(),
         PASSED_OVER,
-        prefill(Reading.NOT_YET));
+        prefill(Prefill.PENDING));
   }
 
   @Test
--- a/org.fawndrum/tst/org/fawndrum/coordination/EndpointEligibilityTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/EndpointEligibilityTest.java
@@ -39,14 +39,14 @@
     return new HostListing(version, endpoints, Set.of(draining), List.of());
   }
 
-  private static boolean isEligible(EndpointRoster eligibility, HostIdentity identity) {
-    return eligibility.open().stream().anyMatch(entry -> entry.identity().equals(identity));
+  private static boolean isEligible(EndpointEligibility eligibility, HostIdentity identity) {
+    return eligibility.eligible().stream().anyMatch(entry -> entry.identity().equals(identity));
   }
 
   @Property(tries = 2_000, seed = "31")
   void onceReportedDrainingNeverEligibleAgain(@ForAll long seed) {
     Random random = new Random(seed);
-    EndpointRoster eligibility = new EndpointRoster();
+    EndpointEligibility eligibility = new EndpointEligibility();
     Map<String, Long> newest = new HashMap<>(Map.of("a", 1L, "b", 1L, "c", 1L));
     Set<HostIdentity> reported = new HashSet<>();
     for (int step = 0; step < 60; step++) {
@@ -55,10 +55,10 @@
       switch (random.nextInt(5)) {
         case 0 -> newest.merge(name, 1L, Long::sum);
         case 1 -> {
-          eligibility.saidLeaving(identity);
+          eligibility.markDraining(identity);
           reported.add(identity);
         }
-        case 2 -> eligibility.answered(identity);
+        case 2 -> eligibility.incarnationAnswered(identity);
         default -> {
           // A lagging list names incarnations that may be superseded; old versions may arrive late.
           List<Endpoint> listed =
@@ -68,7 +68,7 @@
                           endpoint(
                               entry.getKey(), Math.max(1, entry.getValue() - random.nextInt(2))))
                   .toList();
-          eligibility.listed(listing(random.nextInt(60), listed));
+          eligibility.updateListing(listing(random.nextInt(60), listed));
         }
       }
       reported.forEach(
@@ -79,19 +79,19 @@
 
   @Test
   void olderListDoesNotReplaceANewerOne() {
-    EndpointRoster eligibility = new EndpointRoster();
+    EndpointEligibility eligibility = new EndpointEligibility();
     Endpoint a = endpoint("a", 1);
-    assertTrue(eligibility.listed(listing(5, List.of(a), a.identity())));
-    assertFalse(eligibility.listed(listing(4, List.of(a))));
-    assertEquals(List.of(), eligibility.open());
+    assertTrue(eligibility.updateListing(listing(5, List.of(a), a.identity())));
+    assertFalse(eligibility.updateListing(listing(4, List.of(a))));
+    assertEquals(List.of(), eligibility.eligible());
   }
 
   @Test
   void restartedEndpointIsEligibleBeforeTheListIsUpdated() {
-    EndpointRoster eligibility = new EndpointRoster();
+    EndpointEligibility eligibility = new EndpointEligibility();
     Endpoint a = endpoint("a", 1);
-    eligibility.listed(listing(1, List.of(a), a.identity()));
-    eligibility.answered(new HostIdentity("a", 2));
+    eligibility.updateListing(listing(1, List.of(a), a.identity()));
+    eligibility.incarnationAnswered(new HostIdentity("a", 2));
     assertTrue(isEligible(eligibility, new HostIdentity("a", 2)));
     assertFalse(isEligible(eligibility, a.identity()));
   }
@@ -99,57 +99,57 @@
   /** The answer may have come from the later incarnation, which was not known yet. */
   @Test
   void incarnationDiscoveredAfterADrainingAnswerIsProbedBeforeUse() {
-    EndpointRoster eligibility = new EndpointRoster();
+    EndpointEligibility eligibility = new EndpointEligibility();
     Endpoint earlier = endpoint("a", 1);
     Endpoint later = endpoint("a", 2);
-    eligibility.listed(listing(1, List.of(earlier)));
-    assertTrue(eligibility.saidLeavingInAnswer(earlier.identity()));
-    eligibility.listed(listing(2, List.of(later)));
+    eligibility.updateListing(listing(1, List.of(earlier)));
+    assertTrue(eligibility.markDrainingFromAnswer(earlier.identity()));
+    eligibility.updateListing(listing(2, List.of(later)));
     assertFalse(isEligible(eligibility, later.identity()));
-    assertEquals(List.of(later), eligibility.takeUnclear());
-    assertEquals(List.of(), eligibility.takeUnclear(), "returned twice");
-    assertTrue(eligibility.asked(later.identity()));
+    assertEquals(List.of(later), eligibility.takeUnverified());
+    assertEquals(List.of(), eligibility.takeUnverified(), "returned twice");
+    assertTrue(eligibility.markVerified(later.identity()));
     assertTrue(isEligible(eligibility, later.identity()));
   }
 
   @Test
   void incarnationThatAnswersDrainingToTheProbeIsNotEligible() {
-    EndpointRoster eligibility = new EndpointRoster();
+    EndpointEligibility eligibility = new EndpointEligibility();
     Endpoint later = endpoint("a", 2);
-    eligibility.listed(listing(1, List.of(endpoint("a", 1))));
-    eligibility.saidLeavingInAnswer(new HostIdentity("a", 1));
-    eligibility.listed(listing(2, List.of(later)));
-    eligibility.saidLeavingInAnswer(later.identity());
-    eligibility.asked(later.identity());
+    eligibility.updateListing(listing(1, List.of(endpoint("a", 1))));
+    eligibility.markDrainingFromAnswer(new HostIdentity("a", 1));
+    eligibility.updateListing(listing(2, List.of(later)));
+    eligibility.markDrainingFromAnswer(later.identity());
+    eligibility.markVerified(later.identity());
     assertFalse(isEligible(eligibility, later.identity()));
   }
 
   @Test
   void incarnationAfterAListedDrainingOneNeedsNoProbe() {
-    EndpointRoster eligibility = new EndpointRoster();
+    EndpointEligibility eligibility = new EndpointEligibility();
     Endpoint earlier = endpoint("a", 1);
-    eligibility.listed(listing(1, List.of(earlier)));
-    eligibility.saidLeavingInAnswer(earlier.identity());
-    eligibility.listed(listing(2, List.of(earlier), earlier.identity()));
-    eligibility.listed(listing(3, List.of(endpoint("a", 2))));
+    eligibility.updateListing(listing(1, List.of(earlier)));
+    eligibility.markDrainingFromAnswer(earlier.identity());
+    eligibility.updateListing(listing(2, List.of(earlier), earlier.identity()));
+    eligibility.updateListing(listing(3, List.of(endpoint("a", 2))));
     assertTrue(isEligible(eligibility, new HostIdentity("a", 2)));
-    assertEquals(List.of(), eligibility.takeUnclear());
+    assertEquals(List.of(), eligibility.takeUnverified());
   }
 
   @Test
   void oldUnlistedDrainingIncarnationsAreDroppedListedOnesAreNot() {
-    EndpointRoster eligibility = new EndpointRoster();
+    EndpointEligibility eligibility = new EndpointEligibility();
     Endpoint listed = endpoint("listed", 1);
-    eligibility.listed(listing(1, List.of(listed)));
-    eligibility.saidLeaving(listed.identity());
+    eligibility.updateListing(listing(1, List.of(listed)));
+    eligibility.markDraining(listed.identity());
     for (int i = 0; i < 5_000; i++) {
-      eligibility.saidLeaving(new HostIdentity("gone-" + i, 1));
+      eligibility.markDraining(new HostIdentity("gone-" + i, 1));
     }
-    eligibility.listed(listing(2, List.of(listed)));
+    eligibility.updateListing(listing(2, List.of(listed)));
     assertFalse(isEligible(eligibility, listed.identity()));
-    assertEquals(1, eligibility.listedLeaving());
-    assertTrue(eligibility.leaving().size() < 1_100, "kept: " + eligibility.leaving().size());
+    assertEquals(1, eligibility.listedDrainingCount());
+    assertTrue(eligibility.draining().size() < 1_100, "kept: " + eligibility.draining().size());
     assertTrue(
-        eligibility.leaving().contains(new HostIdentity("gone-4999", 1)), "the latest reported");
+        eligibility.draining().contains(new HostIdentity("gone-4999", 1)), "the latest reported");
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/EndpointRestartTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/EndpointRestartTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.fawndrum.coordination.engine.EngineJob;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.state.CallerGroup;
 import org.fawndrum.state.Cell;
 import org.fawndrum.state.Column;
@@ -20,9 +20,9 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.HostListing;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 import org.fawndrum.state.Row;
-import org.fawndrum.state.TableParts;
+import org.fawndrum.state.TableRevisionBuilder;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -34,12 +34,12 @@
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
   private static final CallerGroup GROUP = new CallerGroup("desk", "ask");
   private static final HostIdentity PEER = new HostIdentity("host-2", 1);
-  private static final RequestAims AIMS = new RequestAims(2_500, 1_000, 2);
+  private static final LatencyTargets AIMS = new LatencyTargets(2_500, 1_000, 2);
 
-  private final EndpointRegistry registry = new EndpointRegistry(new EndpointRests());
+  private final EndpointRegistry registry = new EndpointRegistry(new RequestedBackoffs());
   private final EngineWork engineWork =
       new EngineWork(new HostIdentity("host-1", 1), registry, new ArrayList<>());
-  private final EndpointRoster eligibility = new EndpointRoster();
+  private final EndpointEligibility eligibility = new EndpointEligibility();
   private final RequestCoordinator coordinator =
       new RequestCoordinator(
           new HostIdentity("host-1", 1),
@@ -49,7 +49,7 @@
 
   EndpointRestartTest() {
     Row row = Row.EMPTY.with(Column.DEADLINE_MS, new Cell("60000", 0, "ana"));
-    coordinator.table(new TableParts(0, 0).row(GROUP, row).build(), 0);
+    coordinator.updateTable(new TableRevisionBuilder(0, 0).row(GROUP, row).build(), 0);
     registry.update(List.of(engine("e-1", 1)));
   }
 
@@ -77,41 +77,41 @@
         id, new HostIdentity("e-1", incarnation), 50_000, 50_000, 1, true, AIMS, 0);
   }
 
-  private void applyUpdate(EngineNews update) {
+  private void applyUpdate(EngineUpdate update) {
     engineWork.applyUpdate(PEER, update, 10);
   }
 
   @Test
   void peerWorkAndMemoryEndWithTheIncarnation() {
-    applyUpdate(new EngineNews.Placed(job(7, 1)));
+    applyUpdate(new EngineUpdate.Placed(job(7, 1)));
     assertEquals(50_000, state(1).load().memoryTokens());
     restart();
-    assertEquals(0, state(2).load().size());
+    assertEquals(0, state(2).load().jobCount());
     assertEquals(0, state(2).load().memoryTokens());
   }
 
   @Test
   void lateOrRepeatedUpdatesDoNotApplyToTheNewIncarnation() {
-    EngineNews.Placed placed = new EngineNews.Placed(job(7, 1));
+    EngineUpdate.Placed placed = new EngineUpdate.Placed(job(7, 1));
     applyUpdate(placed);
     restart();
     applyUpdate(placed);
     engineWork.replaceAll(PEER, List.of(placed), 20);
-    assertEquals(0, state(2).load().size());
+    assertEquals(0, state(2).load().jobCount());
   }
 
   @Test
   void workCountsAgainAfterATemporaryAbsenceFromTheList() {
-    EngineNews.Placed placed = new EngineNews.Placed(job(7, 1));
+    EngineUpdate.Placed placed = new EngineUpdate.Placed(job(7, 1));
     applyUpdate(placed);
     registry.update(List.of());
     registry.update(List.of(engine("e-1", 1)));
-    assertEquals(0, state(1).load().size());
+    assertEquals(0, state(1).load().jobCount());
     engineWork.replaceAll(PEER, List.of(placed), 20);
     engineWork.replaceAll(PEER, List.of(placed), 30);
-    assertEquals(1, state(1).load().size());
+    assertEquals(1, state(1).load().jobCount());
     engineWork.replaceAll(PEER, List.of(), 40);
-    assertEquals(0, state(1).load().size());
+    assertEquals(0, state(1).load().jobCount());
   }
 
   @Test
@@ -126,9 +126,9 @@
 
   @Test
   void lateFailureReportsDoNotApplyToTheNewIncarnation() {
-    applyUpdate(new EngineNews.Placed(job(7, 1)));
+    applyUpdate(new EngineUpdate.Placed(job(7, 1)));
     restart();
-    applyUpdate(new EngineNews.Ended(7, true));
+    applyUpdate(new EngineUpdate.Completed(7, true));
     assertFalse(state(2).inFailureBackoff(11));
     engineWork.endpointFailed(new HostIdentity("e-1", 1), 10);
     assertFalse(state(2).inFailureBackoff(11));
@@ -145,7 +145,7 @@
   void slownessEndsWithTheIncarnation() {
     EngineJob slow = job(7, 1);
     state(1).load().add(slow, 0);
-    state(1).load().read(7, 20_000);
+    state(1).load().recordFirstToken(7, 20_000);
     assertTrue(state(1).load().slowness(20_000) > 1.5);
     restart();
     assertEquals(1, state(2).load().slowness(20_000));
@@ -171,12 +171,12 @@
   @Test
   void drainingEndsWithTheIncarnation() {
     HostIdentity first = new HostIdentity("e-1", 1);
-    eligibility.listed(listing(1, engine("e-1", 1), Set.of(first)));
-    assertEquals(List.of(), eligibility.open());
-    eligibility.listed(listing(2, engine("e-1", 2), Set.of()));
-    assertEquals(1, eligibility.open().size());
-    assertFalse(eligibility.saidLeaving(first), "outdated");
-    assertEquals(1, eligibility.open().size());
+    eligibility.updateListing(listing(1, engine("e-1", 1), Set.of(first)));
+    assertEquals(List.of(), eligibility.eligible());
+    eligibility.updateListing(listing(2, engine("e-1", 2), Set.of()));
+    assertEquals(1, eligibility.eligible().size());
+    assertFalse(eligibility.markDraining(first), "outdated");
+    assertEquals(1, eligibility.eligible().size());
   }
 
   private static HostListing listing(long version, Endpoint endpoint, Set<HostIdentity> leaving) {
@@ -185,16 +185,16 @@
 
   @Test
   void reportedRestartIsNewOnceAndOnlyForListedEndpoints() {
-    assertFalse(eligibility.startedAgain(new HostIdentity("e-1", 2)), "not listed");
-    eligibility.listed(listing(1, engine("e-1", 1), Set.of()));
-    assertTrue(eligibility.startedAgain(new HostIdentity("e-1", 2)));
-    assertFalse(eligibility.startedAgain(new HostIdentity("e-1", 2)), "twice");
-    assertFalse(eligibility.startedAgain(new HostIdentity("e-1", 1)), "late");
-    assertTrue(eligibility.isOver(new HostIdentity("e-1", 1)));
-    assertEquals(2, eligibility.open().get(0).incarnation());
+    assertFalse(eligibility.incarnationReported(new HostIdentity("e-1", 2)), "not listed");
+    eligibility.updateListing(listing(1, engine("e-1", 1), Set.of()));
+    assertTrue(eligibility.incarnationReported(new HostIdentity("e-1", 2)));
+    assertFalse(eligibility.incarnationReported(new HostIdentity("e-1", 2)), "twice");
+    assertFalse(eligibility.incarnationReported(new HostIdentity("e-1", 1)), "late");
+    assertTrue(eligibility.isSuperseded(new HostIdentity("e-1", 1)));
+    assertEquals(2, eligibility.eligible().get(0).incarnation());
     // A list that lags behind and still names the earlier incarnation.
-    eligibility.listed(listing(2, engine("e-1", 1), Set.of()));
-    assertEquals(2, eligibility.open().get(0).incarnation());
+    eligibility.updateListing(listing(2, engine("e-1", 1), Set.of()));
+    assertEquals(2, eligibility.eligible().get(0).incarnation());
   }
 
   private RequestFacts request(long promptTokens, boolean repeatable) {
@@ -217,7 +217,7 @@
   }
 
   private void arrive(long promptTokens, boolean repeatable, String... engines) {
-    coordinator.endpoints(List.of(engines).stream().map(name -> engine(name, 1)).toList(), 0);
+    coordinator.updateEndpoints(List.of(engines).stream().map(name -> engine(name, 1)).toList(), 0);
     actions.addAll(coordinator.arrive(request(promptTokens, repeatable), 0));
   }
 
@@ -228,10 +228,11 @@
         List.of(engines).stream()
             .map(name -> engine(name, name.equals(restarted) ? 2 : 1))
             .toList();
-    actions.addAll(coordinator.endpoints(endpoints, 50));
+    actions.addAll(coordinator.updateEndpoints(endpoints, 50));
     HostIdentity superseded = new HostIdentity(restarted, 1);
-    actions.addAll(coordinator.restarted(superseded::equals, 50));
-    actions.removeIf(one -> one instanceof Action.Explain || one instanceof Action.Announce);
+    actions.addAll(coordinator.endpointsRestarted(superseded::equals, 50));
+    actions.removeIf(
+        one -> one instanceof Action.RecordDecision || one instanceof Action.BroadcastWork);
   }
 
   @Test
@@ -249,7 +250,7 @@
     assertEquals(2, actions.size(), () -> "cancelled and refused: " + actions);
     Action.Refuse refused = (Action.Refuse) actions.get(1);
     assertEquals(Ran.UNKNOWN, refused.refusal().ran());
-    assertEquals(0, coordinator.open());
+    assertEquals(0, coordinator.openCount());
   }
 
   /**
@@ -259,10 +260,10 @@
   @Test
   void answerThatHasBegunContinues() {
     arrive(5_000, true, "e-1");
-    coordinator.attempt(sent().attempt(), AttemptEvent.ANSWERING, 40);
+    coordinator.attemptEvent(sent().attempt(), AttemptEvent.ANSWERING, 40);
     restart("e-1", "e-1");
     assertEquals(List.of(), actions);
-    assertEquals(1, coordinator.open());
+    assertEquals(1, coordinator.openCount());
   }
 
   @Test
@@ -277,7 +278,7 @@
   void isRetriedWhenAHelperHoldingMemoryRestarts() {
     arrive(300_000, true, "e-1", "e-2");
     String helper = sent().helpers().get(0).endpoint().name();
-    actions.addAll(coordinator.attempt(sent().attempt(), AttemptEvent.ANSWERING, 40));
+    actions.addAll(coordinator.attemptEvent(sent().attempt(), AttemptEvent.ANSWERING, 40));
     restart(helper, "e-1", "e-2");
     assertTrue(actions.get(0) instanceof Action.Cancel, () -> "first of " + actions);
   }
@@ -289,7 +290,7 @@
     List<Action.Helper> helpers = sent().helpers();
     assertFalse(helpers.isEmpty(), "prefilled by one engine");
     assertEquals(0, helpers.get(0).memoryTokens());
-    actions.addAll(coordinator.attempt(sent().attempt(), AttemptEvent.ANSWERING, 40));
+    actions.addAll(coordinator.attemptEvent(sent().attempt(), AttemptEvent.ANSWERING, 40));
     restart(helpers.get(0).endpoint().name(), engines);
     assertEquals(List.of(), actions);
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/LimitFractionsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/LimitFractionsTest.java
@@ -20,8 +20,8 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.HostListing;
-import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
+import org.fawndrum.state.TableRevisionBuilder;
 
 /** The hosts of one listing together admit no more than the table's limits. */
 class LimitFractionsTest {
@@ -47,7 +47,7 @@
     HostListing listing = listing(new Random(seed));
     double sum = 0;
     for (EntryHost host : listing.entryHosts()) {
-      sum += LimitParts.part(new HostIdentity(host.name(), 1), host.zone(), listing);
+      sum += LimitFractions.fraction(new HostIdentity(host.name(), 1), host.zone(), listing);
     }
     assertEquals(1.0, sum, 1e-9);
   }
@@ -56,7 +56,7 @@
   void allHostsTogetherStayWithinTheLimit(@ForAll long seed) {
     HostListing listing = listing(new Random(seed));
     TableRevision table =
-        new TableParts(0, 0)
+        new TableRevisionBuilder(0, 0)
             .cell(
                 new CellKey(GROUP, Column.REQUESTS_PER_SECOND),
                 new Cell(Long.toString(PER_SECOND), 0, "ana"))
@@ -66,9 +66,9 @@
       HostIdentity self = new HostIdentity(host.name(), 1);
       RequestCoordinator coordinator =
           new RequestCoordinator(self, host.zone(), Policies.firstComeRoundRobin());
-      coordinator.table(table, 0);
-      coordinator.endpoints(listing.endpoints(), 0);
-      coordinator.limitPart(LimitParts.part(self, host.zone(), listing), 0);
+      coordinator.updateTable(table, 0);
+      coordinator.updateEndpoints(listing.endpoints(), 0);
+      coordinator.updateLimitFraction(LimitFractions.fraction(self, host.zone(), listing), 0);
       admitted += flood(coordinator);
     }
     // Each host starts with a burst of two seconds of its fraction, and at least one request.
@@ -93,7 +93,7 @@
       for (Action action : coordinator.arrive(facts, nowMs)) {
         if (action instanceof Action.Send send) {
           admitted++;
-          coordinator.attempt(send.attempt(), AttemptEvent.ANSWERED, nowMs);
+          coordinator.attemptEvent(send.attempt(), AttemptEvent.ANSWERED, nowMs);
         }
       }
     }
--- a/org.fawndrum/tst/org/fawndrum/coordination/LostAttemptsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/LostAttemptsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import java.util.List;
-import org.fawndrum.coordination.crash.CrashLedger;
+import org.fawndrum.coordination.crash.CrashRegistry;
 import org.fawndrum.coordination.crash.CrashVerdict;
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
@@ -24,7 +24,7 @@
   private static final long RUN_MS = 50;
 
   private final LostAttempts lostAttempts = new LostAttempts();
-  private final CrashLedger crashLedger = new CrashLedger(new HostIdentity("host-1", 1));
+  private final CrashRegistry crashLedger = new CrashRegistry(new HostIdentity("host-1", 1));
   private long nowMs = 1_000_000;
 
   private static final NumberedContent DEADLY = new NumberedContent(1);
@@ -40,7 +40,7 @@
   }
 
   private void crash(HostIdentity endpoint) {
-    crashLedger.crashed(endpoint, DEADLY.computeFingerprint(), nowMs - RUN_MS, nowMs);
+    crashLedger.recordCrash(endpoint, DEADLY.computeFingerprint(), nowMs - RUN_MS, nowMs);
   }
 
   private void startIsOver() {
@@ -48,7 +48,7 @@
         .takeSuperseded(ENGINE::equals, nowMs)
         .forEach(
             attempt ->
-                crashLedger.startIsOver(
+                crashLedger.recordIncarnationEnd(
                     attempt.endpoint(),
                     attempt.content().fingerprint().orElseThrow(),
                     attempt.sentMs(),
@@ -74,7 +74,7 @@
       crash(new HostIdentity("f-" + i, 1));
     }
     advance(LATER_MS);
-    assertEquals(CrashVerdict.REFUSED, crashLedger.verdict(DEADLY, nowMs));
+    assertEquals(CrashVerdict.REJECTED, crashLedger.verdict(DEADLY, nowMs));
   }
 
   @Test
@@ -83,8 +83,8 @@
     advance(LATER_MS);
     loseConnection(DEADLY);
     startIsOver();
-    assertEquals(1, crashLedger.all().crashes().size());
-    assertEquals(nowMs, crashLedger.all().crashes().get(0).atMs());
+    assertEquals(1, crashLedger.fullUpdate().crashes().size());
+    assertEquals(nowMs, crashLedger.fullUpdate().crashes().get(0).atMs());
   }
 
   @Test
@@ -93,18 +93,18 @@
       HostIdentity engine = new HostIdentity("e-" + i, 1);
       lostAttempts.add(new LostAttempts.LostAttempt(DEADLY, engine, nowMs - RUN_MS, nowMs));
       advance(LATER_MS);
-      assertNotEquals(CrashVerdict.REFUSED, crashLedger.verdict(DEADLY, nowMs));
+      assertNotEquals(CrashVerdict.REJECTED, crashLedger.verdict(DEADLY, nowMs));
       lostAttempts
           .takeSuperseded(engine::equals, nowMs)
           .forEach(
               attempt ->
-                  crashLedger.startIsOver(
+                  crashLedger.recordIncarnationEnd(
                       attempt.endpoint(),
                       DEADLY.computeFingerprint(),
                       attempt.sentMs(),
                       attempt.atMs()));
       advance(LATER_MS);
     }
-    assertEquals(CrashVerdict.REFUSED, crashLedger.verdict(DEADLY, nowMs));
+    assertEquals(CrashVerdict.REJECTED, crashLedger.verdict(DEADLY, nowMs));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/RequestedBackoffsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/RequestedBackoffsTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.crash.CrashUpdate;
 import org.fawndrum.coordination.crash.EndpointCrash;
 import org.fawndrum.coordination.crash.RequestFingerprint;
 import org.fawndrum.state.CallerGroup;
@@ -22,9 +22,9 @@
 import org.fawndrum.state.EngineProfile;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 import org.fawndrum.state.Row;
-import org.fawndrum.state.TableParts;
+import org.fawndrum.state.TableRevisionBuilder;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -39,7 +39,7 @@
   private static final HostIdentity SECOND = new HostIdentity("e-2", 1);
   private static final long BACKOFF_MS = 3_000;
 
-  private final EndpointRests backoffs = new EndpointRests();
+  private final RequestedBackoffs backoffs = new RequestedBackoffs();
   private final EndpointRegistry registry = new EndpointRegistry(backoffs);
   private final RequestCoordinator coordinator =
       new RequestCoordinator(
@@ -52,8 +52,8 @@
 
   RequestedBackoffsTest() {
     Row row = Row.EMPTY.with(Column.DEADLINE_MS, new Cell("60000", 0, "ana"));
-    coordinator.table(new TableParts(0, 0).row(GROUP, row).build(), 0);
-    coordinator.endpoints(engines(FIRST, SECOND), 0);
+    coordinator.updateTable(new TableRevisionBuilder(0, 0).row(GROUP, row).build(), 0);
+    coordinator.updateEndpoints(engines(FIRST, SECOND), 0);
     registry.update(engines(FIRST));
   }
 
@@ -77,7 +77,7 @@
   }
 
   /** Handles a new request. Returns the send action, if any. */
-  private Optional<Action.Send> arrive(long promptTokens, RequestAims aims, long nowMs) {
+  private Optional<Action.Send> arrive(long promptTokens, LatencyTargets aims, long nowMs) {
     RequestFacts facts =
         new RequestFacts(
             "r-" + ++requestCount,
@@ -96,7 +96,7 @@
   }
 
   private Optional<Action.Send> arrive(long nowMs) {
-    return arrive(5_000, new RequestAims(300, 250, 4), nowMs);
+    return arrive(5_000, new LatencyTargets(300, 250, 4), nowMs);
   }
 
   private Optional<Action.Send> sent() {
@@ -113,24 +113,24 @@
 
   @Test
   void endsAtTheRequestedTime() {
-    backoffs.asked(FIRST, BACKOFF_MS, 0);
+    backoffs.requested(FIRST, BACKOFF_MS, 0);
     assertTrue(inBackoffAt(2_999));
     assertFalse(inBackoffAt(3_000));
   }
 
   @Test
   void wholeAnswerDoesNotEndIt() {
-    backoffs.asked(FIRST, BACKOFF_MS, 0);
+    backoffs.requested(FIRST, BACKOFF_MS, 0);
     registry.state(FIRST).recordSuccess();
     assertTrue(inBackoffAt(1));
   }
 
   @Test
   void secondRequestExtendsButDoesNotShortenIt() {
-    backoffs.asked(FIRST, BACKOFF_MS, 0);
-    backoffs.asked(FIRST, 100, 1_000);
+    backoffs.requested(FIRST, BACKOFF_MS, 0);
+    backoffs.requested(FIRST, 100, 1_000);
     assertTrue(inBackoffAt(2_999));
-    backoffs.asked(FIRST, BACKOFF_MS, 2_000);
+    backoffs.requested(FIRST, BACKOFF_MS, 2_000);
     assertTrue(inBackoffAt(4_999));
     assertFalse(inBackoffAt(5_000));
   }
@@ -142,15 +142,15 @@
    */
   @Test
   void appliesToAnIncarnationDiscoveredAfterTheRequest() {
-    backoffs.asked(FIRST, BACKOFF_MS, 0);
+    backoffs.requested(FIRST, BACKOFF_MS, 0);
     assertTrue(laterIncarnationInBackoffAt(2_999));
     assertFalse(laterIncarnationInBackoffAt(3_000));
-    assertFalse(backoffs.lasts(new HostIdentity("e-1", 0), 1), "earlier incarnation");
+    assertFalse(backoffs.isActive(new HostIdentity("e-1", 0), 1), "earlier incarnation");
   }
 
   @Test
   void doesNotApplyToAnIncarnationAfterAnObservedTermination() {
-    backoffs.asked(FIRST, BACKOFF_MS, 0);
+    backoffs.requested(FIRST, BACKOFF_MS, 0);
     registry.terminated(FIRST, 10);
     assertFalse(laterIncarnationInBackoffAt(11));
     assertFalse(inBackoffAt(11));
@@ -163,17 +163,17 @@
    */
   @Test
   void terminationReportedByAnotherHostDoesNotEndIt() {
-    backoffs.asked(FIRST, BACKOFF_MS, 0);
+    backoffs.requested(FIRST, BACKOFF_MS, 0);
     EndpointCrash reported =
         new EndpointCrash(FIRST, 900, 1_100, Set.of(new RequestFingerprint(1, 2, 3)));
-    CrashNews update = new CrashNews(List.of(reported), List.of(), List.of(), List.of());
-    coordinator.suspects(suspected -> suspected.heard(update, 1_150), 1_150);
+    CrashUpdate update = new CrashUpdate(List.of(reported), List.of(), List.of(), List.of());
+    coordinator.suspectedRequests(suspected -> suspected.applyUpdate(update, 1_150), 1_150);
     assertTrue(laterIncarnationInBackoffAt(2_999));
   }
 
   @Test
   void terminationBeforeTheRequestDoesNotEndIt() {
-    backoffs.asked(FIRST, BACKOFF_MS, 10);
+    backoffs.requested(FIRST, BACKOFF_MS, 10);
     registry.terminated(FIRST, 5);
     assertTrue(laterIncarnationInBackoffAt(11));
     assertTrue(inBackoffAt(11));
@@ -181,13 +181,13 @@
 
   @Test
   void doesNotApplyToAnIncarnationDiscoveredMuchLater() {
-    backoffs.asked(FIRST, 10 * EndpointRests.MAX_DISCOVERY_DELAY_MS, 0);
-    assertTrue(laterIncarnationInBackoffAt(EndpointRests.MAX_DISCOVERY_DELAY_MS - 1));
-    assertFalse(laterIncarnationInBackoffAt(EndpointRests.MAX_DISCOVERY_DELAY_MS));
-    assertTrue(inBackoffAt(EndpointRests.MAX_DISCOVERY_DELAY_MS));
-    backoffs.asked(new HostIdentity("e-1", 2), 100, EndpointRests.MAX_DISCOVERY_DELAY_MS);
-    assertTrue(laterIncarnationInBackoffAt(EndpointRests.MAX_DISCOVERY_DELAY_MS + 99));
-    assertFalse(laterIncarnationInBackoffAt(EndpointRests.MAX_DISCOVERY_DELAY_MS + 100));
+    backoffs.requested(FIRST, 10 * RequestedBackoffs.MAX_DISCOVERY_DELAY_MS, 0);
+    assertTrue(laterIncarnationInBackoffAt(RequestedBackoffs.MAX_DISCOVERY_DELAY_MS - 1));
+    assertFalse(laterIncarnationInBackoffAt(RequestedBackoffs.MAX_DISCOVERY_DELAY_MS));
+    assertTrue(inBackoffAt(RequestedBackoffs.MAX_DISCOVERY_DELAY_MS));
+    backoffs.requested(new HostIdentity("e-1", 2), 100, RequestedBackoffs.MAX_DISCOVERY_DELAY_MS);
+    assertTrue(laterIncarnationInBackoffAt(RequestedBackoffs.MAX_DISCOVERY_DELAY_MS + 99));
+    assertFalse(laterIncarnationInBackoffAt(RequestedBackoffs.MAX_DISCOVERY_DELAY_MS + 100));
   }
 
   private boolean laterIncarnationInBackoffAt(long nowMs) {
@@ -198,7 +198,7 @@
 
   @Test
   void survivesATemporaryAbsenceFromTheList() {
-    backoffs.asked(FIRST, BACKOFF_MS, 0);
+    backoffs.requested(FIRST, BACKOFF_MS, 0);
     registry.update(List.of());
     registry.update(engines(FIRST));
     assertTrue(inBackoffAt(1));
@@ -207,19 +207,19 @@
   @Test
   void isRemovedAfterItEnds() {
     for (int i = 0; i < 1_000; i++) {
-      backoffs.asked(new HostIdentity("e-" + i, 1), 10, 100L * i);
+      backoffs.requested(new HostIdentity("e-" + i, 1), 10, 100L * i);
     }
-    assertEquals(1, backoffs.count(99_900));
+    assertEquals(1, backoffs.activeCount(99_900));
   }
 
   @Test
   void isNotCountedAsAFailure() {
     Action.Send send = arrive(0).orElseThrow();
-    backoffs.asked(send.endpoint().identity(), 100, 1);
-    actions.addAll(coordinator.attempt(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT, 1));
+    backoffs.requested(send.endpoint().identity(), 100, 1);
+    actions.addAll(coordinator.attemptEvent(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT, 1));
     HostIdentity other = sent().orElseThrow().endpoint().identity();
     assertFalse(other.equals(send.endpoint().identity()), "sent to the same endpoint again");
-    backoffs.asked(other, BACKOFF_MS, 1);
+    backoffs.requested(other, BACKOFF_MS, 1);
     // The requested backoff ends long before the failure backoff after one failure would.
     assertEquals(send.endpoint(), arrive(101).orElseThrow().endpoint());
   }
@@ -227,11 +227,12 @@
   @Test
   void unsentAttemptIsRetriedElsewhereWithoutFailureOrRetryBudget() {
     Action.Send send = arrive(0).orElseThrow();
-    backoffs.asked(send.endpoint().identity(), 100, 1);
-    actions.addAll(coordinator.attempt(send.attempt(), AttemptEvent.ENDPOINT_RESTS, 1));
+    backoffs.requested(send.endpoint().identity(), 100, 1);
+    actions.addAll(coordinator.attemptEvent(send.attempt(), AttemptEvent.ENDPOINT_BACKOFF, 1));
     Action.Send second = sent().orElseThrow();
     assertFalse(second.endpoint().equals(send.endpoint()), "sent to an endpoint in backoff");
-    actions.addAll(coordinator.attempt(second.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT, 101));
+    actions.addAll(
+        coordinator.attemptEvent(second.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT, 101));
     assertEquals(send.endpoint(), sent().orElseThrow().endpoint());
   }
 
@@ -245,20 +246,20 @@
   @Test
   void endpointInBackoffIsNotAHelper() {
     HostIdentity third = new HostIdentity("e-3", 1);
-    RequestAims aims = new RequestAims(2_500, 1_000, 4);
-    coordinator.endpoints(engines(FIRST, SECOND, third, new HostIdentity("e-4", 1)), 0);
+    LatencyTargets aims = new LatencyTargets(2_500, 1_000, 4);
+    coordinator.updateEndpoints(engines(FIRST, SECOND, third, new HostIdentity("e-4", 1)), 0);
     Action.Send all = arrive(200_000, aims, 0).orElseThrow();
     assertTrue(participants(all).contains(third), () -> "prefilled by " + participants(all));
-    coordinator.attempt(all.attempt(), AttemptEvent.ANSWERED, 900);
-    backoffs.asked(third, BACKOFF_MS, 1_000);
+    coordinator.attemptEvent(all.attempt(), AttemptEvent.ANSWERED, 900);
+    backoffs.requested(third, BACKOFF_MS, 1_000);
     Action.Send others = arrive(200_000, aims, 1_000).orElseThrow();
     assertFalse(participants(others).contains(third));
     assertFalse(others.helpers().isEmpty(), "prefilled by one engine");
   }
 
   private void allInBackoff(long backoffMs) {
-    backoffs.asked(FIRST, backoffMs, 0);
-    backoffs.asked(SECOND, BACKOFF_MS, 0);
+    backoffs.requested(FIRST, backoffMs, 0);
+    backoffs.requested(SECOND, BACKOFF_MS, 0);
   }
 
   @Test
@@ -269,13 +270,13 @@
     assertEquals(RefusalKind.ENDPOINTS_REST, refusal.kind());
     assertEquals(Ran.NO, refusal.ran());
     assertEquals(600, refusal.retryAfterMs());
-    assertEquals(0, coordinator.open());
+    assertEquals(0, coordinator.openCount());
   }
 
   @Test
   void retryDelayIsLimitedWhenAllBackoffsAreLong() {
     allInBackoff(3_600_000);
-    backoffs.asked(SECOND, 3_600_000, 0);
+    backoffs.requested(SECOND, 3_600_000, 0);
     arrive(100);
     assertEquals(1_000, refused().orElseThrow().retryAfterMs());
   }
@@ -284,7 +285,7 @@
   void requestWaitsForABackoffThatEndsInTime() {
     allInBackoff(150);
     assertEquals(Optional.empty(), arrive(100));
-    assertEquals(1, coordinator.waiting());
+    assertEquals(1, coordinator.waitingCount());
     actions.addAll(coordinator.tick(160));
     assertEquals(FIRST, sent().orElseThrow().endpoint().identity());
   }
@@ -293,28 +294,28 @@
   void waitingRequestIsRefusedWhenTheLastEndpointRequestsABackoff() {
     allInBackoff(150);
     arrive(100);
-    backoffs.asked(FIRST, BACKOFF_MS, 110);
-    actions.addAll(coordinator.endpointRests(110));
+    backoffs.requested(FIRST, BACKOFF_MS, 110);
+    actions.addAll(coordinator.backoffRequested(110));
     assertEquals(RefusalKind.ENDPOINTS_REST, refused().orElseThrow().kind());
-    assertEquals(0, coordinator.open());
+    assertEquals(0, coordinator.openCount());
   }
 
   @Test
   void waitingRequestIsRefusedWhenTheLastEndpointDrains() {
     allInBackoff(150);
     arrive(100);
-    actions.addAll(coordinator.endpoints(List.of(), 110));
+    actions.addAll(coordinator.updateEndpoints(List.of(), 110));
     assertEquals(RefusalKind.NO_ENDPOINT, refused().orElseThrow().kind());
     assertEquals(Ran.NO, refused().orElseThrow().ran());
-    assertEquals(0, coordinator.open());
+    assertEquals(0, coordinator.openCount());
   }
 
   @Test
   void requestThatMayHaveRunIsNotReportedAsNotRun() {
     Action.Send send = arrive(0).orElseThrow();
-    backoffs.asked(FIRST, BACKOFF_MS, 1);
-    backoffs.asked(SECOND, BACKOFF_MS, 1);
-    actions.addAll(coordinator.attempt(send.attempt(), AttemptEvent.LOST, 1));
+    backoffs.requested(FIRST, BACKOFF_MS, 1);
+    backoffs.requested(SECOND, BACKOFF_MS, 1);
+    actions.addAll(coordinator.attemptEvent(send.attempt(), AttemptEvent.LOST, 1));
     assertEquals(Ran.UNKNOWN, refused().orElseThrow().ran());
     assertEquals(RefusalKind.ENDPOINT_FAILED, refused().orElseThrow().kind());
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/ShutdownWindowTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/ShutdownWindowTest.java
@@ -15,8 +15,8 @@
   private static final long ORDERED_MS = 1_000_000;
   private static final long USUAL_GRACE_MS = 8_000;
 
-  private static StopWindow usualWindow() {
-    return StopWindow.from(ORDERED_MS, USUAL_GRACE_MS);
+  private static ShutdownWindow usualWindow() {
+    return ShutdownWindow.from(ORDERED_MS, USUAL_GRACE_MS);
   }
 
   private static boolean accepts(long sinceOrderMs, long limitMs) {
@@ -41,8 +41,8 @@
 
   @Test
   void hostShutsDownBeforeItIsKilled() {
-    assertEquals(ORDERED_MS + 7_400, usualWindow().endMs());
-    assertEquals(ORDERED_MS + 7_850, usualWindow().goneMs());
+    assertEquals(ORDERED_MS + 7_400, usualWindow().shutdownMs());
+    assertEquals(ORDERED_MS + 7_850, usualWindow().exitMs());
   }
 
   /**
@@ -51,11 +51,11 @@
    */
   @Test
   void delayedHostStartsItsShutdownEarlier() {
-    assertEquals(ORDERED_MS + 7_000, usualWindow().endMs(400));
-    assertEquals(ORDERED_MS + 7_400, usualWindow().endMs(0));
+    assertEquals(ORDERED_MS + 7_000, usualWindow().shutdownMs(400));
+    assertEquals(ORDERED_MS + 7_400, usualWindow().shutdownMs(0));
     long lastSixthMs = ORDERED_MS + 6_667;
     assertEquals(
-        lastSixthMs, usualWindow().endMs(60_000), "answers still being generated continue");
+        lastSixthMs, usualWindow().shutdownMs(60_000), "answers still being generated continue");
   }
 
   /**
@@ -65,20 +65,20 @@
   @Test
   void graceCountsFromTheEarliestPossibleArrivalOfTheOrder() {
     long handledMs = ORDERED_MS + 1_900;
-    StopWindow window = StopWindow.from(ORDERED_MS, handledMs, USUAL_GRACE_MS);
-    assertEquals(usualWindow().endMs(), window.endMs());
-    StopWindow late = StopWindow.from(handledMs - 60_000, handledMs, USUAL_GRACE_MS);
-    assertEquals(handledMs + 3_400, late.endMs(), "half is left for requests in progress");
+    ShutdownWindow window = ShutdownWindow.from(ORDERED_MS, handledMs, USUAL_GRACE_MS);
+    assertEquals(usualWindow().shutdownMs(), window.shutdownMs());
+    ShutdownWindow late = ShutdownWindow.from(handledMs - 60_000, handledMs, USUAL_GRACE_MS);
+    assertEquals(handledMs + 3_400, late.shutdownMs(), "half is left for requests in progress");
   }
 
   @Test
   void unrestrictedWindowAcceptsEverything() {
-    assertTrue(StopWindow.UNRESTRICTED.accepts(ORDERED_MS, Long.MAX_VALUE));
+    assertTrue(ShutdownWindow.UNRESTRICTED.accepts(ORDERED_MS, Long.MAX_VALUE));
   }
 
   @Test
   void closedWindowAcceptsNothing() {
-    assertFalse(StopWindow.CLOSED.accepts(0, 1));
+    assertFalse(ShutdownWindow.CLOSED.accepts(0, 1));
   }
 
   @Property(tries = 2_000, seed = "43")
@@ -86,13 +86,15 @@
       @ForAll @LongRange(min = 0, max = 120_000) long graceMs,
       @ForAll @LongRange(min = 0, max = 130_000) long sinceOrderMs,
       @ForAll @LongRange(min = 1, max = 130_000) long limitMs) {
-    StopWindow window = StopWindow.from(ORDERED_MS, graceMs);
+    ShutdownWindow window = ShutdownWindow.from(ORDERED_MS, graceMs);
     boolean early = sinceOrderMs < 3_000 && sinceOrderMs * 8 < graceMs * 3;
     boolean inTime = sinceOrderMs + limitMs < graceMs;
     long nowMs = ORDERED_MS + sinceOrderMs;
     assertTrue(early || inTime || !window.accepts(nowMs, nowMs + limitMs));
-    assertTrue(window.endMs() >= ORDERED_MS && window.endMs() <= window.goneMs());
-    assertTrue(window.goneMs() <= ORDERED_MS + graceMs);
-    assertTrue(window.endMs(limitMs) >= ORDERED_MS && window.endMs(limitMs) <= window.endMs());
+    assertTrue(window.shutdownMs() >= ORDERED_MS && window.shutdownMs() <= window.exitMs());
+    assertTrue(window.exitMs() <= ORDERED_MS + graceMs);
+    assertTrue(
+        window.shutdownMs(limitMs) >= ORDERED_MS
+            && window.shutdownMs(limitMs) <= window.shutdownMs());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/StalledAttemptTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/StalledAttemptTest.java
@@ -16,9 +16,9 @@
 import org.fawndrum.state.EndpointKind;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
+import org.fawndrum.state.LatencyTargets;
 import org.fawndrum.state.Publication;
-import org.fawndrum.state.ReplayPublication;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.PublicationReplay;
 import org.fawndrum.state.TableRevision;
 import org.junit.jupiter.api.Test;
 
@@ -50,8 +50,9 @@
             .map(cell -> new CellChange(new CellKey(GROUP, cell.getKey()), cell.getValue()))
             .toList();
     Publication publication = new Publication("p", "ana", -1, cells);
-    coordinator.table(new ReplayPublication(TableRevision.EMPTY, 0, publication).call(), nowMs);
-    coordinator.endpoints(List.of(engine("e-1"), engine("e-2"), engine("e-3")), nowMs);
+    coordinator.updateTable(
+        new PublicationReplay(TableRevision.EMPTY, 0, publication).apply(), nowMs);
+    coordinator.updateEndpoints(List.of(engine("e-1"), engine("e-2"), engine("e-3")), nowMs);
   }
 
   private static Endpoint engine(String name) {
@@ -68,7 +69,8 @@
     for (Action action : actions) {
       if (action instanceof Action.Send send) {
         sent.add(send);
-      } else if (!(action instanceof Action.Explain || action instanceof Action.Announce)) {
+      } else if (!(action instanceof Action.RecordDecision
+          || action instanceof Action.BroadcastWork)) {
         others.add(action);
       }
     }
@@ -87,13 +89,13 @@
                 0,
                 true,
                 List.of(),
-                new RequestAims(300, 250, MAX_ATTEMPTS)),
+                new LatencyTargets(300, 250, MAX_ATTEMPTS)),
             nowMs));
   }
 
   private void attemptEvent(AttemptEvent event) {
     nowMs += 1_000;
-    apply(coordinator.attempt(sent.get(sent.size() - 1).attempt(), event, nowMs));
+    apply(coordinator.attemptEvent(sent.get(sent.size() - 1).attempt(), event, nowMs));
   }
 
   @Test
@@ -121,7 +123,7 @@
     others.clear();
     attemptEvent(AttemptEvent.STALLED);
     assertEquals(2, others.size(), "cancelled and refused: " + others);
-    assertEquals(0, coordinator.open());
+    assertEquals(0, coordinator.openCount());
   }
 
   @Test
@@ -133,7 +135,7 @@
     attemptEvent(AttemptEvent.STALLED);
     assertEquals(List.of(), others, "answer truncated");
     attemptEvent(AttemptEvent.ANSWERED);
-    assertEquals(0, coordinator.open());
+    assertEquals(0, coordinator.openCount());
     assertTrue(others.isEmpty(), "completed without its answer");
   }
 }
