--- a/org.fawndrum/tst/org/fawndrum/coordination/SuspectedRequestsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/SuspectedRequestsTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.IntStream;
-import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.crash.CrashUpdate;
 import org.fawndrum.coordination.crash.EndpointCrash;
 import org.fawndrum.coordination.crash.RequestFingerprint;
 import org.fawndrum.state.CallerGroup;
@@ -21,9 +21,9 @@
 import org.fawndrum.state.EngineProfile;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 import org.fawndrum.state.Row;
-import org.fawndrum.state.TableParts;
+import org.fawndrum.state.TableRevisionBuilder;
 import org.junit.jupiter.api.Test;
 
 /** The handling of requests that crash endpoints, in every state that a request can be in. */
@@ -31,7 +31,7 @@
   private static final EngineProfile PROFILE =
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
   private static final CallerGroup GROUP = new CallerGroup("desk", "ask");
-  private static final RequestAims AIMS = new RequestAims(300, 250, 2);
+  private static final LatencyTargets AIMS = new LatencyTargets(300, 250, 2);
 
   /**
    * Time after which a crashed endpoint is back and no longer in failure backoff, in milliseconds.
@@ -50,12 +50,12 @@
 
   SuspectedRequestsTest() {
     Row row = Row.EMPTY.with(Column.DEADLINE_MS, new Cell("10000", 0, "ana"));
-    coordinator.table(new TableParts(0, 0).row(GROUP, row).build(), nowMs);
+    coordinator.updateTable(new TableRevisionBuilder(0, 0).row(GROUP, row).build(), nowMs);
     updateEndpoints(6);
   }
 
   private void updateEndpoints(int engines) {
-    coordinator.endpoints(
+    coordinator.updateEndpoints(
         IntStream.range(0, engines).mapToObj(SuspectedRequestsTest::engine).toList(), nowMs);
   }
 
@@ -108,8 +108,8 @@
 
   /** The endpoint of an attempt crashes while it runs. */
   private List<Action> crashEndpoint(Action.Send send) {
-    List<Action> actions = new ArrayList<>(coordinator.endpointEnded(send.attempt(), nowMs));
-    actions.addAll(coordinator.attempt(send.attempt(), AttemptEvent.LOST, nowMs));
+    List<Action> actions = new ArrayList<>(coordinator.endpointTerminated(send.attempt(), nowMs));
+    actions.addAll(coordinator.attemptEvent(send.attempt(), AttemptEvent.LOST, nowMs));
     return sendsAndRefusals(actions);
   }
 
@@ -123,9 +123,9 @@
     RequestFingerprint request = new NumberedContent(content).computeFingerprint();
     EndpointCrash crash =
         new EndpointCrash(new HostIdentity(endpoint, 1), nowMs, nowMs, Set.of(request));
-    CrashNews update = new CrashNews(List.of(crash), List.of(), List.of(), List.of());
+    CrashUpdate update = new CrashUpdate(List.of(crash), List.of(), List.of(), List.of());
     return sendsAndRefusals(
-        coordinator.suspects(suspected -> suspected.heard(update, nowMs), nowMs));
+        coordinator.suspectedRequests(suspected -> suspected.applyUpdate(update, nowMs), nowMs));
   }
 
   private void twoCrashesElsewhere(long content) {
@@ -148,7 +148,7 @@
     assertEquals(RefusalKind.ENDS_ENDPOINTS, next.kind());
     assertEquals(Ran.NO, next.ran());
     sent(arrive("r-3", 2));
-    assertEquals(1, coordinator.open());
+    assertEquals(1, coordinator.openCount());
   }
 
   @Test
@@ -167,22 +167,23 @@
     crashReportedByPeer("f-3", 1);
     assertEquals(List.of(), arrive("r-2", 1));
     List<Action> actions =
-        sendsAndRefusals(coordinator.attempt(elsewhere.attempt(), AttemptEvent.ANSWERED, nowMs));
+        sendsAndRefusals(
+            coordinator.attemptEvent(elsewhere.attempt(), AttemptEvent.ANSWERED, nowMs));
     assertEquals("r-2", sent(actions).attempt().requestId());
   }
 
   @Test
   void waitingRequestIsRejectedToo() {
     List<Action> earlierSends = new ArrayList<>();
-    for (int i = 0; i < 400 && coordinator.waiting() == 0; i++) {
+    for (int i = 0; i < 400 && coordinator.waitingCount() == 0; i++) {
       earlierSends.addAll(arrive("r-" + i, 1));
     }
-    assertEquals(1, coordinator.waiting());
+    assertEquals(1, coordinator.waitingCount());
     twoCrashesElsewhere(1);
     crashReportedByPeer("f-3", 1);
     assertTrue(
         advance().stream().anyMatch(action -> action instanceof Action.Refuse), "still waiting");
-    assertEquals(0, coordinator.waiting());
+    assertEquals(0, coordinator.waitingCount());
   }
 
   /** Reports three crashes under a request and one without it, so that more are needed. */
@@ -201,13 +202,13 @@
     assertEquals(List.of(), arrive("r-2", 1));
     Action.Send first = sent(advance());
     assertEquals(List.of(), advance(), "two copies at a time");
-    coordinator.attempt(first.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT, nowMs);
+    coordinator.attemptEvent(first.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT, nowMs);
     List<Action> actions = advance();
     assertFalse(sent(actions).attempt().requestId().equals(first.attempt().requestId()));
   }
 
   private List<Action> loseConnection(Action.Send send) {
-    return sendsAndRefusals(coordinator.attempt(send.attempt(), AttemptEvent.LOST, nowMs));
+    return sendsAndRefusals(coordinator.attemptEvent(send.attempt(), AttemptEvent.LOST, nowMs));
   }
 
   /**
@@ -235,7 +236,7 @@
   }
 
   private int crashesKnown() {
-    return coordinator.suspects().all().crashes().size();
+    return coordinator.suspectedRequests().allUpdates().crashes().size();
   }
 
   /**
@@ -249,9 +250,9 @@
     loseConnection(first);
     assertEquals(0, crashesKnown(), "a connection may break for other reasons");
     nowMs += 300;
-    coordinator.restarted(first.endpoint().identity()::equals, nowMs);
+    coordinator.endpointsRestarted(first.endpoint().identity()::equals, nowMs);
     assertEquals(1, crashesKnown());
-    coordinator.restarted(first.endpoint().identity()::equals, nowMs);
+    coordinator.endpointsRestarted(first.endpoint().identity()::equals, nowMs);
     assertEquals(1, crashesKnown(), "counted twice");
   }
 
@@ -261,8 +262,8 @@
     loseConnection(first);
     nowMs += 100;
     crashReportedByPeer(first.endpoint().name(), 2);
-    EndpointCrash crash = coordinator.suspects().all().crashes().get(0);
-    assertEquals(2, crash.under().size(), crash.toString());
+    EndpointCrash crash = coordinator.suspectedRequests().allUpdates().crashes().get(0);
+    assertEquals(2, crash.requests().size(), crash.toString());
   }
 
   @Test
@@ -271,9 +272,10 @@
     loseConnection(first);
     nowMs += 2_000;
     crashReportedByPeer(first.endpoint().name(), 2);
-    assertEquals(1, coordinator.suspects().all().crashes().get(0).under().size());
+    assertEquals(
+        1, coordinator.suspectedRequests().allUpdates().crashes().get(0).requests().size());
     nowMs += 20_000;
-    coordinator.restarted(first.endpoint().identity()::equals, nowMs);
+    coordinator.endpointsRestarted(first.endpoint().identity()::equals, nowMs);
     assertEquals(1, crashesKnown());
   }
 
@@ -287,11 +289,13 @@
     Action.Send send = sent(arrive("r-1", 1));
     for (int i = 0; i < 10; i++) {
       nowMs += 1_500;
-      sendsAndRefusals(coordinator.restarted(send.endpoint().identity()::equals, nowMs));
+      sendsAndRefusals(coordinator.endpointsRestarted(send.endpoint().identity()::equals, nowMs));
       coordinator.tick(nowMs);
     }
-    assertEquals(List.of(), coordinator.suspects().refused());
-    assertTrue(coordinator.suspects().all().crashes().size() <= 1, "one incarnation, one crash");
+    assertEquals(List.of(), coordinator.suspectedRequests().rejected());
+    assertTrue(
+        coordinator.suspectedRequests().allUpdates().crashes().size() <= 1,
+        "one incarnation, one crash");
   }
 
   /**
@@ -301,7 +305,7 @@
   @Test
   void waitingCopiesAreNotSentTogether() {
     List<Action.Send> earlierSends = new ArrayList<>();
-    for (int i = 0; i < 400 && coordinator.waiting() == 0; i++) {
+    for (int i = 0; i < 400 && coordinator.waitingCount() == 0; i++) {
       arrive("r-" + i, 5).forEach(action -> earlierSends.add((Action.Send) action));
     }
     threeCrashesAmongOthers(1);
@@ -310,10 +314,11 @@
     for (int i = 0; i < 20; i++) {
       advance();
     }
-    assertEquals(3, coordinator.waiting(), "both copies, and the request that found no capacity");
+    assertEquals(
+        3, coordinator.waitingCount(), "both copies, and the request that found no capacity");
     int copies = 0;
     for (Action.Send send : earlierSends) {
-      copies += copies(coordinator.attempt(send.attempt(), AttemptEvent.ANSWERED, nowMs));
+      copies += copies(coordinator.attemptEvent(send.attempt(), AttemptEvent.ANSWERED, nowMs));
     }
     for (int i = 0; i < 2; i++) {
       nowMs += SETTLED_MS;
@@ -336,7 +341,7 @@
   void terminationOfADrainingEndpointIsNoEvidence() {
     twoCrashesElsewhere(1);
     Action.Send send = sent(arrive("r-1", 1));
-    coordinator.endpoints(
+    coordinator.updateEndpoints(
         IntStream.range(0, 6)
             .mapToObj(SuspectedRequestsTest::engine)
             .filter(engine -> !engine.equals(send.endpoint()))
@@ -369,7 +374,7 @@
     int first = 0;
     int second = 0;
     for (int i = 0; i < 12; i++) {
-      coordinator.endpoints(List.of(engine(i % 3)), nowMs);
+      coordinator.updateEndpoints(List.of(engine(i % 3)), nowMs);
       first += isSentAndCrashesItsEndpoint("a-" + i, 1) ? 1 : 0;
       nowMs += RESTART_MS;
       second += isSentAndCrashesItsEndpoint("b-" + i, 2) ? 1 : 0;
@@ -388,7 +393,7 @@
     arrive("r-1", 1);
     coordinator.callerGone("r-1", nowMs);
     assertEquals(List.of(), advance());
-    assertEquals(0, coordinator.open());
+    assertEquals(0, coordinator.openCount());
   }
 
   @Test
@@ -398,6 +403,6 @@
     arrive("r-1", 1);
     nowMs += 10_000;
     assertEquals(1, sendsAndRefusals(coordinator.tick(nowMs)).size());
-    assertEquals(0, coordinator.open());
+    assertEquals(0, coordinator.openCount());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/SweepRuleTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/SweepRuleTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.fawndrum.coordination.membership.ZoneDuties;
+import org.fawndrum.coordination.membership.ZoneTasks;
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
@@ -21,7 +21,7 @@
   private static final HostIdentity OWNER = new HostIdentity("a", 3);
 
   /** An owner status set by the test. */
-  private static final class FakeOwnerStatus implements SweepRule.Known {
+  private static final class FakeOwnerStatus implements SweepRule.OwnerStatus {
     boolean replaced;
     boolean listed;
     boolean alive;
@@ -100,7 +100,7 @@
       for (String host : hosts) {
         Set<String> otherHosts = new HashSet<>(hosts);
         otherHosts.remove(host);
-        if (ZoneDuties.mine(name, host, otherHosts)) {
+        if (ZoneTasks.isOwner(name, host, otherHosts)) {
           assertEquals(null, owners.put(name, host));
         }
       }
--- a/org.fawndrum/tst/org/fawndrum/coordination/TestEndpoints.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/TestEndpoints.java
@@ -9,6 +9,6 @@
 
   /** Returns the state of an endpoint without any attempts sent to it. */
   public static EndpointState state(Endpoint endpoint) {
-    return new EndpointState(endpoint, 1, new EndpointRests());
+    return new EndpointState(endpoint, 1, new RequestedBackoffs());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/WindowRetryBudgetTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/WindowRetryBudgetTest.java
@@ -33,7 +33,7 @@
     for (int step : steps) {
       nowMs += Math.abs(step);
       if (step < 0) {
-        budget.firstSend(TARGET, nowMs);
+        budget.recordFirstSend(TARGET, nowMs);
         requests.add(nowMs);
       } else if (budget.tryRetry(TARGET, nowMs)) {
         retries.add(nowMs);
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashFindingTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashFindingTest.java
@@ -16,12 +16,12 @@
   private static final TestContent DEADLY = new TestContent(1);
   private static final TestContent OTHER = new TestContent(2);
 
-  private final CrashLedger registry = new CrashLedger(new HostIdentity("host-1", 1));
+  private final CrashRegistry registry = new CrashRegistry(new HostIdentity("host-1", 1));
   private long nowMs = 1_000_000;
 
   private void crash(String endpoint, TestContent... requests) {
     for (TestContent request : requests) {
-      registry.crashed(
+      registry.recordCrash(
           new HostIdentity(endpoint, 1), request.knownFingerprint(), nowMs - SENT_BEFORE_MS, nowMs);
     }
   }
@@ -55,7 +55,7 @@
 
   @Test
   void reportsHostsThatDoNotReport() {
-    registry.hearsAll(false);
+    registry.allHostsReporting(false);
     for (int i = 0; i < CrashRules.MIN_CRASHES; i++) {
       crash("e-" + i, DEADLY);
       advance(1_000);
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashFleet.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashFleet.java
@@ -54,7 +54,7 @@
   final Random random;
   private final int hosts;
   private final long goneMs;
-  private final CrashLedger[] registries;
+  private final CrashRegistry[] registries;
   private final boolean[] cut;
   private final boolean[] frozen;
   private final long[] disturbedMs;
@@ -88,7 +88,7 @@
     random = new Random(seed);
     this.hosts = hosts;
     this.goneMs = goneMs;
-    registries = new CrashLedger[hosts];
+    registries = new CrashRegistry[hosts];
     cut = new boolean[hosts];
     frozen = new boolean[hosts];
     disturbedMs = new long[hosts];
@@ -104,8 +104,8 @@
     }
   }
 
-  private CrashLedger registry(int host) {
-    return new CrashLedger(new HostIdentity("host-" + host, nowMs));
+  private CrashRegistry registry(int host) {
+    return new CrashRegistry(new HostIdentity("host-" + host, nowMs));
   }
 
   void at(long atMs, Runnable action) {
@@ -136,22 +136,22 @@
           int other = random.nextInt(hosts);
           if (!cut[host]
               && !cut[other]
-              && registries[host].summary() != registries[other].summary()) {
-            transmit(other, host, registries[other].all());
-            transmit(host, other, registries[host].all());
+              && registries[host].digest() != registries[other].digest()) {
+            transmit(other, host, registries[other].fullUpdate());
+            transmit(host, other, registries[host].fullUpdate());
           }
           heartbeat(host);
         });
   }
 
-  private void broadcast(int from, CrashNews update) {
-    boolean due = !update.isEmpty() && update.hops() <= CrashNews.MOST_HOPS;
+  private void broadcast(int from, CrashUpdate update) {
+    boolean due = !update.isEmpty() && update.hops() <= CrashUpdate.MAX_HOPS;
     for (int to = 0; to < hosts && due; to++) {
       transmit(from, to, update);
     }
   }
 
-  private void transmit(int from, int to, CrashNews update) {
+  private void transmit(int from, int to, CrashUpdate update) {
     if (to != from && !cut[from] && !cut[to]) {
       long delayMs = UPDATE_MS + random.nextInt(updateSpreadMs);
       messages++;
@@ -163,14 +163,14 @@
    * If updates may be late, a host takes their times for later ones than they are, and forwards
    * what is new to it.
    */
-  private void receive(int host, CrashNews update, long delayMs) {
+  private void receive(int host, CrashUpdate update, long delayMs) {
     if (cut[host]) {
       return;
     }
     if (updateSpreadMs == UPDATE_SPREAD_MS) {
-      registries[host].heard(update, nowMs);
+      registries[host].merge(update, nowMs);
     } else {
-      broadcast(host, registries[host].heard(DelayedUpdate.of(update, delayMs), nowMs));
+      broadcast(host, registries[host].merge(DelayedUpdate.of(update, delayMs), nowMs));
     }
   }
 
@@ -212,12 +212,12 @@
     }
     decide(run.host());
     CrashVerdict verdict = registries[run.host()].verdict(run.request(), nowMs);
-    if (verdict == CrashVerdict.HELD) {
+    if (verdict == CrashVerdict.DELAYED) {
       after(10, () -> send(run));
-    } else if (verdict == CrashVerdict.REFUSED) {
+    } else if (verdict == CrashVerdict.REJECTED) {
       boolean innocent = !run.deadly() && connected(run.host());
       innocentsRejected += innocent ? 1 : 0;
-    } else if (!registries[run.host()].needsTurn(run.request())) {
+    } else if (!registries[run.host()].needsLease(run.request())) {
       place(run);
     } else {
       acquireLease(run);
@@ -225,34 +225,34 @@
   }
 
   private void acquireLease(CrashRun run) {
-    CrashLedger registry = registries[run.host()];
+    CrashRegistry registry = registries[run.host()];
     if (registry.quarantinedUntilMs(run.request()) > nowMs + MAX_WAIT_MS) {
       innocentsDeferred += run.deadly() ? 0 : 1;
       return;
     }
-    broadcast(run.host(), registry.askTurn(run.request(), nowMs));
+    broadcast(run.host(), registry.requestLease(run.request(), nowMs));
     registry
-        .beginTurn(run.request(), nowMs)
+        .acquireLease(run.request(), nowMs)
         .ifPresentOrElse(lease -> place(run.withLease(lease)), () -> after(10, () -> send(run)));
   }
 
   private void releaseLease(CrashRun run) {
     if (run.lease() != null) {
-      registries[run.host()].endTurn(run.lease());
+      registries[run.host()].releaseLease(run.lease());
     }
   }
 
   private void recordInconclusiveRun(CrashRun run) {
     if (run.lease() != null) {
-      broadcast(run.host(), registries[run.host()].spendTurn(run.lease()));
+      broadcast(run.host(), registries[run.host()].recordInconclusiveRun(run.lease()));
     }
   }
 
   private void decide(int host) {
-    registries[host].hearsAll(!anyHostSilent());
-    List<RefusedRequest> refused = registries[host].decide(nowMs);
+    registries[host].allHostsReporting(!anyHostSilent());
+    List<RejectedRequest> refused = registries[host].decide(nowMs);
     if (!refused.isEmpty()) {
-      broadcast(host, CrashNews.ofRefused(refused));
+      broadcast(host, CrashUpdate.ofRejected(refused));
     }
   }
 
@@ -289,7 +289,7 @@
   }
 
   private boolean mayRunAt(CrashRun run, CrashEngine engine) {
-    CrashLedger registry = registries[run.host()];
+    CrashRegistry registry = registries[run.host()];
     return !registry.isIsolated(run.request())
         || registry.mayRunAt(run.request(), knownIncarnation(run.host(), engine));
   }
@@ -314,7 +314,7 @@
       after(ANSWER_TIMEOUT_MS, () -> fail(run, false));
     } else {
       innocentsServed++;
-      broadcast(run.host(), registries[run.host()].served(run.request(), nowMs));
+      broadcast(run.host(), registries[run.host()].recordAnswer(run.request(), nowMs));
       releaseLease(run);
     }
   }
@@ -374,11 +374,12 @@
 
   /** Handles a failed run; its host may have observed the crash. */
   private void fail(CrashRun run, boolean observed) {
-    CrashLedger registry = registries[run.host()];
+    CrashRegistry registry = registries[run.host()];
     if (observed) {
       broadcast(
           run.host(),
-          registry.crashed(run.target(), run.request().knownFingerprint(), run.sentMs(), nowMs));
+          registry.recordCrash(
+              run.target(), run.request().knownFingerprint(), run.sentMs(), nowMs));
     }
     recordInconclusiveRun(run);
     if (run.triesLeft() > 1) {
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashIdentityTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashIdentityTest.java
@@ -32,11 +32,11 @@
   /** How much later another host observes the same crash, in milliseconds. */
   private static final long JITTER_MS = 18;
 
-  private final CrashLedger registry = new CrashLedger(HOST);
+  private final CrashRegistry registry = new CrashRegistry(HOST);
   private long nowMs = 1_000_000;
 
-  private CrashNews crash(HostIdentity endpoint, TestContent request, long sentMs) {
-    return registry.crashed(endpoint, request.knownFingerprint(), sentMs, nowMs);
+  private CrashUpdate crash(HostIdentity endpoint, TestContent request, long sentMs) {
+    return registry.recordCrash(endpoint, request.knownFingerprint(), sentMs, nowMs);
   }
 
   private void advance(long ms) {
@@ -58,8 +58,8 @@
     advance(JITTER_MS);
     crash(EARLIER_INCARNATION, INNOCENT, nowMs - 5_000);
     twoMoreCrashes();
-    assertEquals(CrashVerdict.REFUSED, registry.verdict(DEADLY, nowMs));
-    assertEquals(CrashVerdict.FREE, registry.verdict(INNOCENT, nowMs));
+    assertEquals(CrashVerdict.REJECTED, registry.verdict(DEADLY, nowMs));
+    assertEquals(CrashVerdict.ALLOWED, registry.verdict(INNOCENT, nowMs));
   }
 
   @Test
@@ -68,7 +68,7 @@
     advance(JITTER_MS);
     crash(LATER_INCARNATION, DEADLY, nowMs - RUN_MS);
     twoMoreCrashes();
-    assertEquals(CrashVerdict.REFUSED, registry.verdict(DEADLY, nowMs));
+    assertEquals(CrashVerdict.REJECTED, registry.verdict(DEADLY, nowMs));
   }
 
   /** A host may learn only from the list of endpoints that the incarnation it knew has ended. */
@@ -79,7 +79,7 @@
     advance(3_000);
     crash(EARLIER_INCARNATION, INNOCENT, sentMs);
     twoMoreCrashes();
-    assertEquals(CrashVerdict.REFUSED, registry.verdict(DEADLY, nowMs));
+    assertEquals(CrashVerdict.REJECTED, registry.verdict(DEADLY, nowMs));
   }
 
   @Test
@@ -88,27 +88,28 @@
       crash(new HostIdentity("e-1", 1_000 * (i + 1)), DEADLY, nowMs - RUN_MS);
       advance(500 + RUN_MS);
     }
-    assertEquals(CrashVerdict.REFUSED, registry.verdict(DEADLY, nowMs));
+    assertEquals(CrashVerdict.REJECTED, registry.verdict(DEADLY, nowMs));
   }
 
   @Test
   void orderOfUpdatesDoesNotMatter() {
-    List<CrashNews> updates =
+    List<CrashUpdate> updates =
         List.of(
             crash(EARLIER_INCARNATION, INNOCENT, nowMs - 5_000),
-            new CrashLedger(HOST)
-                .crashed(LATER_INCARNATION, DEADLY.knownFingerprint(), nowMs - RUN_MS, nowMs),
-            new CrashLedger(HOST)
-                .crashed(LATER_INCARNATION, INNOCENT.knownFingerprint(), nowMs - RUN_MS, nowMs));
-    CrashLedger first = new CrashLedger(HOST);
-    CrashLedger second = new CrashLedger(HOST);
+            new CrashRegistry(HOST)
+                .recordCrash(LATER_INCARNATION, DEADLY.knownFingerprint(), nowMs - RUN_MS, nowMs),
+            new CrashRegistry(HOST)
+                .recordCrash(
+                    LATER_INCARNATION, INNOCENT.knownFingerprint(), nowMs - RUN_MS, nowMs));
+    CrashRegistry first = new CrashRegistry(HOST);
+    CrashRegistry second = new CrashRegistry(HOST);
     for (int i = 0; i < updates.size(); i++) {
-      first.heard(updates.get(i), nowMs);
-      second.heard(updates.get(updates.size() - 1 - i), nowMs);
+      first.merge(updates.get(i), nowMs);
+      second.merge(updates.get(updates.size() - 1 - i), nowMs);
     }
-    assertNotEquals(0, first.summary());
-    assertEquals(first.summary(), second.summary());
-    assertEquals(1, first.all().crashes().size());
+    assertNotEquals(0, first.digest());
+    assertEquals(first.digest(), second.digest());
+    assertEquals(1, first.fullUpdate().crashes().size());
   }
 
   /**
@@ -119,25 +120,26 @@
   @Test
   void crashMergedFromSeveralReportsIsNotNew() {
     crash(EARLIER_INCARNATION, INNOCENT, nowMs - 1_000);
-    registry.crashed(LATER_INCARNATION, DEADLY.knownFingerprint(), nowMs + 150, nowMs + 300);
-    registry.crashed(
+    registry.recordCrash(LATER_INCARNATION, DEADLY.knownFingerprint(), nowMs + 150, nowMs + 300);
+    registry.recordCrash(
         EARLIER_INCARNATION, new TestContent(3).knownFingerprint(), nowMs - 1_000, nowMs - 100);
-    assertTrue(registry.heard(registry.all(), nowMs).isEmpty());
-    assertEquals(1, registry.all().crashes().size());
+    assertTrue(registry.merge(registry.fullUpdate(), nowMs).isEmpty());
+    assertEquals(1, registry.fullUpdate().crashes().size());
   }
 
   @Test
   void ownFullUpdateContainsNothingNew() {
     for (long seed = 1; seed <= 500; seed++) {
       Random random = new Random(seed);
-      CrashLedger host = new CrashLedger(HOST);
+      CrashRegistry host = new CrashRegistry(HOST);
       for (int i = 0; i < 30; i++) {
         HostIdentity endpoint = new HostIdentity("e-" + random.nextInt(2), random.nextInt(4));
         TestContent request = new TestContent(random.nextInt(5));
         long endedMs = nowMs - random.nextInt(3_000);
-        host.crashed(endpoint, request.knownFingerprint(), endedMs - random.nextInt(800), endedMs);
+        host.recordCrash(
+            endpoint, request.knownFingerprint(), endedMs - random.nextInt(800), endedMs);
       }
-      assertTrue(host.heard(host.all(), nowMs).isEmpty(), "seed " + seed);
+      assertTrue(host.merge(host.fullUpdate(), nowMs).isEmpty(), "seed " + seed);
     }
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashRegistryTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashRegistryTest.java
@@ -25,12 +25,13 @@
   private static final TestContent DEADLY = new TestContent(1);
   private static final TestContent INNOCENT = new TestContent(2);
 
-  private final CrashLedger registry = new CrashLedger(HOST);
+  private final CrashRegistry registry = new CrashRegistry(HOST);
   private long nowMs = START_MS;
 
   private void crash(String endpoint, TestContent... requests) {
     for (TestContent request : requests) {
-      registry.crashed(new HostIdentity(endpoint, 1), request.knownFingerprint(), SENT_MS, nowMs);
+      registry.recordCrash(
+          new HostIdentity(endpoint, 1), request.knownFingerprint(), SENT_MS, nowMs);
     }
   }
 
@@ -61,12 +62,12 @@
     advance(APART_MS);
     crash("e-2", DEADLY);
     settle();
-    assertEquals(CrashVerdict.FREE, verdict(DEADLY));
+    assertEquals(CrashVerdict.ALLOWED, verdict(DEADLY));
     crash("e-3", DEADLY);
-    assertEquals(CrashVerdict.HELD, verdict(DEADLY), "before updates can have arrived");
+    assertEquals(CrashVerdict.DELAYED, verdict(DEADLY), "before updates can have arrived");
     settle();
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
-    assertEquals(CrashVerdict.FREE, verdict(INNOCENT));
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
+    assertEquals(CrashVerdict.ALLOWED, verdict(INNOCENT));
   }
 
   /**
@@ -75,31 +76,31 @@
    */
   @Test
   void delayIsBounded() {
-    List<RefusedRequest> others = new ArrayList<>();
+    List<RejectedRequest> others = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       TestContent beside = new TestContent(10 + i);
-      others.add(new RefusedRequest(beside.knownFingerprint(), nowMs, List.of()));
+      others.add(new RejectedRequest(beside.knownFingerprint(), nowMs, List.of()));
       crash("e-" + i, DEADLY);
       crash("f-" + i, beside);
       advance(3_000);
     }
     advance(10_000);
-    assertEquals(CrashVerdict.FREE, verdict(DEADLY), "part of a burst each time");
+    assertEquals(CrashVerdict.ALLOWED, verdict(DEADLY), "part of a burst each time");
     // The causes of the other crashes are known: they were no bursts.
-    registry.heard(CrashNews.ofRefused(others), nowMs);
+    registry.merge(CrashUpdate.ofRejected(others), nowMs);
     verdict(DEADLY);
     advance(CrashRules.SETTLE_MS);
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
   }
 
   @Test
   void recentlyAnsweredRequestIsNotDelayed() {
     crash("e-1", INNOCENT);
     advance(20);
-    registry.served(INNOCENT, nowMs);
+    registry.recordAnswer(INNOCENT, nowMs);
     crash("e-2", INNOCENT);
     crash("e-3", INNOCENT);
-    assertEquals(CrashVerdict.FREE, verdict(INNOCENT));
+    assertEquals(CrashVerdict.ALLOWED, verdict(INNOCENT));
   }
 
   @Test
@@ -107,7 +108,7 @@
     threeCrashes();
     crash("e-7", DEADLY, INNOCENT);
     crash("e-8", DEADLY, INNOCENT);
-    assertEquals(CrashVerdict.FREE, verdict(INNOCENT));
+    assertEquals(CrashVerdict.ALLOWED, verdict(INNOCENT));
   }
 
   @Test
@@ -117,7 +118,7 @@
       advance(APART_MS);
     }
     settle();
-    assertEquals(CrashVerdict.FREE, verdict(DEADLY));
+    assertEquals(CrashVerdict.ALLOWED, verdict(DEADLY));
   }
 
   /**
@@ -135,10 +136,10 @@
   void requestSentAfterCrashMeansAnotherCrash() {
     HostIdentity endpoint = new HostIdentity("e-1", 1);
     for (int i = 0; i < 3; i++) {
-      registry.crashed(endpoint, DEADLY.knownFingerprint(), nowMs - 50, nowMs);
+      registry.recordCrash(endpoint, DEADLY.knownFingerprint(), nowMs - 50, nowMs);
       advance(500);
     }
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
   }
 
   @Test
@@ -146,13 +147,13 @@
     HostIdentity endpoint = new HostIdentity("e-1", 1);
     for (int i = 0; i < 3; i++) {
       long endedMs = nowMs;
-      registry.crashed(endpoint, DEADLY.knownFingerprint(), endedMs - 50, endedMs);
+      registry.recordCrash(endpoint, DEADLY.knownFingerprint(), endedMs - 50, endedMs);
       advance(CrashRules.SETTLE_MS);
       // Another host observed the same crash, and had sent the request just before it.
-      registry.crashed(endpoint, DEADLY.knownFingerprint(), endedMs + 100, nowMs);
+      registry.recordCrash(endpoint, DEADLY.knownFingerprint(), endedMs + 100, nowMs);
     }
     settle();
-    assertEquals(CrashVerdict.FREE, verdict(DEADLY));
+    assertEquals(CrashVerdict.ALLOWED, verdict(DEADLY));
   }
 
   /**
@@ -165,21 +166,21 @@
       crash("e-1", INNOCENT);
       advance(3_000);
     }
-    assertEquals(CrashVerdict.FREE, verdict(INNOCENT));
-    assertEquals(1, registry.all().crashes().stream().filter(this::isOfInnocent).count());
+    assertEquals(CrashVerdict.ALLOWED, verdict(INNOCENT));
+    assertEquals(1, registry.fullUpdate().crashes().stream().filter(this::isOfInnocent).count());
   }
 
   private boolean isOfInnocent(EndpointCrash crash) {
-    return crash.under().contains(INNOCENT.knownFingerprint());
+    return crash.requests().contains(INNOCENT.knownFingerprint());
   }
 
   @Test
   void endpointWithoutIncarnationMayCrashAgain() {
     for (int i = 0; i < 3; i++) {
-      registry.crashed(new HostIdentity("e-1", 0), DEADLY.knownFingerprint(), SENT_MS, nowMs);
+      registry.recordCrash(new HostIdentity("e-1", 0), DEADLY.knownFingerprint(), SENT_MS, nowMs);
       advance(3_000);
     }
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
   }
 
   @Test
@@ -188,7 +189,7 @@
       crash("e-" + i, DEADLY);
     }
     settle();
-    assertEquals(CrashVerdict.FREE, verdict(DEADLY));
+    assertEquals(CrashVerdict.ALLOWED, verdict(DEADLY));
   }
 
   @Test
@@ -198,7 +199,7 @@
       crash("f-" + i, new TestContent(100 + i));
       advance(3_000);
     }
-    assertEquals(CrashVerdict.FREE, verdict(INNOCENT));
+    assertEquals(CrashVerdict.ALLOWED, verdict(INNOCENT));
   }
 
   @Test
@@ -207,10 +208,10 @@
     advance(APART_MS);
     crash("e-2", INNOCENT);
     advance(APART_MS);
-    registry.served(INNOCENT, nowMs);
+    registry.recordAnswer(INNOCENT, nowMs);
     crash("e-3", INNOCENT);
     settle();
-    assertEquals(CrashVerdict.FREE, verdict(INNOCENT));
+    assertEquals(CrashVerdict.ALLOWED, verdict(INNOCENT));
   }
 
   @Test
@@ -220,11 +221,11 @@
         crash("e-" + burst + "-" + i, INNOCENT);
       }
       advance(20);
-      assertNotEquals(CrashVerdict.REFUSED, verdict(INNOCENT));
+      assertNotEquals(CrashVerdict.REJECTED, verdict(INNOCENT));
       // The other endpoints answer it within the time of a short prefill.
-      registry.served(INNOCENT, nowMs);
+      registry.recordAnswer(INNOCENT, nowMs);
       advance(3_000);
-      assertEquals(CrashVerdict.FREE, verdict(INNOCENT));
+      assertEquals(CrashVerdict.ALLOWED, verdict(INNOCENT));
     }
   }
 
@@ -237,14 +238,14 @@
     advance(APART_MS);
     crash("e-3", DEADLY, INNOCENT, beside[2]);
     settle();
-    assertNotEquals(CrashVerdict.REFUSED, verdict(INNOCENT), "either may be the cause");
+    assertNotEquals(CrashVerdict.REJECTED, verdict(INNOCENT), "either may be the cause");
     crash("e-4", DEADLY, beside[0]);
     settle();
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
     crash("e-5", DEADLY, INNOCENT);
     settle();
-    assertEquals(CrashVerdict.FREE, verdict(INNOCENT));
-    assertEquals(CrashVerdict.FREE, verdict(beside[0]));
+    assertEquals(CrashVerdict.ALLOWED, verdict(INNOCENT));
+    assertEquals(CrashVerdict.ALLOWED, verdict(beside[0]));
   }
 
   @Test
@@ -257,8 +258,8 @@
       advance(160);
     }
     settle();
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
-    assertEquals(CrashVerdict.REFUSED, verdict(other));
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
+    assertEquals(CrashVerdict.REJECTED, verdict(other));
   }
 
   /**
@@ -279,67 +280,69 @@
       crash("e-" + i, DEADLY);
       advance(3_000);
     }
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
-    assertEquals(CrashVerdict.FREE, verdict(second), "explained by the other request");
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
+    assertEquals(CrashVerdict.ALLOWED, verdict(second), "explained by the other request");
     for (int i = 0; i < CrashRules.MIN_CRASHES; i++) {
-      assertNotEquals(CrashVerdict.REFUSED, verdict(second), "the other request may be the cause");
+      assertNotEquals(CrashVerdict.REJECTED, verdict(second), "the other request may be the cause");
       crash("f-" + i, second);
       advance(3_000);
     }
-    assertEquals(CrashVerdict.REFUSED, verdict(second));
+    assertEquals(CrashVerdict.REJECTED, verdict(second));
   }
 
   @Test
   void crashesObservedByDifferentHostsAddUp() {
-    CrashLedger second = new CrashLedger(HOST);
-    CrashLedger third = new CrashLedger(HOST);
-    CrashNews one =
-        registry.crashed(new HostIdentity("e-1", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs);
-    CrashNews two =
-        second.crashed(new HostIdentity("e-2", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs + 300);
-    CrashNews three =
-        second.crashed(new HostIdentity("e-3", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs + 600);
+    CrashRegistry second = new CrashRegistry(HOST);
+    CrashRegistry third = new CrashRegistry(HOST);
+    CrashUpdate one =
+        registry.recordCrash(new HostIdentity("e-1", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs);
+    CrashUpdate two =
+        second.recordCrash(
+            new HostIdentity("e-2", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs + 300);
+    CrashUpdate three =
+        second.recordCrash(
+            new HostIdentity("e-3", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs + 600);
     // Late, in another order, and twice.
-    List.of(three, one, two, one, three).forEach(update -> third.heard(update, nowMs + 700));
+    List.of(three, one, two, one, three).forEach(update -> third.merge(update, nowMs + 700));
     third.decide(nowMs + 900);
-    assertEquals(CrashVerdict.REFUSED, third.verdict(DEADLY, nowMs + 900));
+    assertEquals(CrashVerdict.REJECTED, third.verdict(DEADLY, nowMs + 900));
   }
 
   @Test
   void emptyRegistryCatchesUpWithOneUpdate() {
     threeCrashes();
-    CrashLedger later = new CrashLedger(HOST);
-    assertNotEquals(registry.summary(), later.summary());
-    later.heard(registry.all(), nowMs);
-    assertEquals(CrashVerdict.REFUSED, later.verdict(DEADLY, nowMs));
-    assertEquals(registry.summary(), later.summary());
-    assertTrue(later.heard(registry.all(), nowMs).isEmpty(), "forwarded forever");
+    CrashRegistry later = new CrashRegistry(HOST);
+    assertNotEquals(registry.digest(), later.digest());
+    later.merge(registry.fullUpdate(), nowMs);
+    assertEquals(CrashVerdict.REJECTED, later.verdict(DEADLY, nowMs));
+    assertEquals(registry.digest(), later.digest());
+    assertTrue(later.merge(registry.fullUpdate(), nowMs).isEmpty(), "forwarded forever");
   }
 
   @Test
   void operatorClearsRejectionOnAllHosts() {
     threeCrashes();
-    CrashLedger other = new CrashLedger(HOST);
-    other.heard(registry.all(), nowMs);
-    CrashNews clearing = other.letGo(DEADLY.knownFingerprint(), nowMs + 1_000);
-    assertEquals(CrashVerdict.FREE, other.verdict(DEADLY, nowMs + 1_000));
+    CrashRegistry other = new CrashRegistry(HOST);
+    other.merge(registry.fullUpdate(), nowMs);
+    CrashUpdate clearing = other.clearRejection(DEADLY.knownFingerprint(), nowMs + 1_000);
+    assertEquals(CrashVerdict.ALLOWED, other.verdict(DEADLY, nowMs + 1_000));
     // A host that missed the clearing sends its outdated evidence.
-    other.heard(registry.all(), nowMs + 2_000);
-    assertEquals(CrashVerdict.FREE, other.verdict(DEADLY, nowMs + 2_000));
-    registry.heard(clearing, nowMs + 3_000);
-    assertEquals(CrashVerdict.FREE, registry.verdict(DEADLY, nowMs + 3_000));
+    other.merge(registry.fullUpdate(), nowMs + 2_000);
+    assertEquals(CrashVerdict.ALLOWED, other.verdict(DEADLY, nowMs + 2_000));
+    registry.merge(clearing, nowMs + 3_000);
+    assertEquals(CrashVerdict.ALLOWED, registry.verdict(DEADLY, nowMs + 3_000));
   }
 
   @Test
   void rejectionExpiresAnHourAfterLastArrival() {
     threeCrashes();
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
-    nowMs += CrashLedger.REJECTION_EXPIRY_MS - 1;
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
-    nowMs += CrashLedger.REJECTION_EXPIRY_MS - 1;
-    assertEquals(CrashVerdict.REFUSED, verdict(DEADLY));
-    nowMs += CrashLedger.REJECTION_EXPIRY_MS + 1;
-    assertEquals(CrashVerdict.FREE, verdict(DEADLY));
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
+    nowMs += CrashRegistry.REJECTION_EXPIRY_MS - 1;
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
+    nowMs += CrashRegistry.REJECTION_EXPIRY_MS - 1;
+    assertEquals(CrashVerdict.REJECTED, verdict(DEADLY));
+    nowMs += CrashRegistry.REJECTION_EXPIRY_MS + 1;
+    assertEquals(CrashVerdict.ALLOWED, verdict(DEADLY));
   }
 
   @Test
@@ -359,8 +362,8 @@
           }
         };
     threeCrashes();
-    assertEquals(CrashVerdict.FREE, registry.verdict(other, nowMs));
-    registry.served(other, nowMs);
+    assertEquals(CrashVerdict.ALLOWED, registry.verdict(other, nowMs));
+    registry.recordAnswer(other, nowMs);
     assertEquals(0, hashed.get());
   }
 
@@ -372,7 +375,7 @@
       }
       advance(1);
     }
-    CrashNews all = registry.all();
+    CrashUpdate all = registry.fullUpdate();
     assertTrue(all.crashes().size() <= CrashHistory.MAX_CRASHES);
     for (int i = 0; i < 1_000; i++) {
       TestContent deadly = new TestContent(1_000_000 + i);
@@ -382,7 +385,7 @@
       }
     }
     settle();
-    assertEquals(CrashLedger.MAX_REJECTED, registry.refused().size());
-    assertFalse(registry.refused().isEmpty());
+    assertEquals(CrashRegistry.MAX_REJECTED, registry.rejected().size());
+    assertFalse(registry.rejected().isEmpty());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashRun.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashRun.java
@@ -9,14 +9,14 @@
     boolean deadly,
     int host,
     int triesLeft,
-    SuspectTurn lease,
+    ExecutionLease lease,
     HostIdentity target,
     long sentMs) {
   CrashRun(TestContent request, boolean deadly, int host, int triesLeft) {
     this(request, deadly, host, triesLeft, null, null, 0);
   }
 
-  CrashRun withLease(SuspectTurn acquired) {
+  CrashRun withLease(ExecutionLease acquired) {
     return new CrashRun(request, deadly, host, triesLeft, acquired, target, sentMs);
   }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/DelayedUpdate.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/DelayedUpdate.java
@@ -9,30 +9,31 @@
   private DelayedUpdate() {}
 
   /** Returns the update after a transport delay in milliseconds. */
-  static CrashNews of(CrashNews update, long delayMs) {
-    return new CrashNews(
+  static CrashUpdate of(CrashUpdate update, long delayMs) {
+    return new CrashUpdate(
         update.crashes().stream().map(item -> of(item, delayMs)).toList(),
-        update.served().stream()
-            .map(item -> new ServedRequest(item.request(), item.atMs() + delayMs))
+        update.answered().stream()
+            .map(item -> new AnsweredRequest(item.request(), item.atMs() + delayMs))
             .toList(),
-        update.refused().stream()
+        update.rejected().stream()
             .map(
                 item ->
-                    new RefusedRequest(item.request(), item.sinceMs() + delayMs, item.endpoints()))
+                    new RejectedRequest(item.request(), item.sinceMs() + delayMs, item.endpoints()))
             .toList(),
-        update.turns().stream()
-            .map(item -> new SuspectTurn(item.request(), item.host(), item.atMs() + delayMs))
+        update.leases().stream()
+            .map(item -> new ExecutionLease(item.request(), item.host(), item.atMs() + delayMs))
             .toList(),
-        update.spent().stream()
+        update.inconclusiveRuns().stream()
             .map(
                 item ->
-                    new SpentTurn(item.request(), item.host(), item.turns(), item.atMs() + delayMs))
+                    new InconclusiveRuns(
+                        item.request(), item.host(), item.count(), item.lastStartedMs() + delayMs))
             .toList(),
         update.hops());
   }
 
   private static EndpointCrash of(EndpointCrash crash, long delayMs) {
     return new EndpointCrash(
-        crash.endpoint(), crash.takenMs() + delayMs, crash.atMs() + delayMs, crash.under());
+        crash.endpoint(), crash.lastSentMs() + delayMs, crash.atMs() + delayMs, crash.requests());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/ExecutionLeasesTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/ExecutionLeasesTest.java
@@ -23,12 +23,13 @@
   private static final TestContent DEADLY = new TestContent(1);
   private static final TestContent INNOCENT = new TestContent(2);
 
-  private final CrashLedger registry = new CrashLedger(new HostIdentity("host-1", 1));
+  private final CrashRegistry registry = new CrashRegistry(new HostIdentity("host-1", 1));
   private long nowMs = START_MS;
 
   private void crash(String endpoint, TestContent... requests) {
     for (TestContent request : requests) {
-      registry.crashed(new HostIdentity(endpoint, 1), request.knownFingerprint(), SENT_MS, nowMs);
+      registry.recordCrash(
+          new HostIdentity(endpoint, 1), request.knownFingerprint(), SENT_MS, nowMs);
     }
   }
 
@@ -55,64 +56,66 @@
       HostIdentity endpoint = new HostIdentity("e-" + i, 1);
       assertNotEquals(registry.mayRunAt(DEADLY, endpoint), registry.mayRunAt(second, endpoint));
     }
-    registry.served(second, nowMs);
+    registry.recordAnswer(second, nowMs);
     assertFalse(registry.isIsolated(DEADLY), "the only suspect left");
   }
 
   @Test
   void requestWithThreeCrashesRunsOneCopyAtATime() {
-    CrashLedger other = new CrashLedger(new HostIdentity("host-2", 1));
+    CrashRegistry other = new CrashRegistry(new HostIdentity("host-2", 1));
     crash("x-1", INNOCENT);
     advance(3_000);
     crash("e-1", DEADLY);
     advance(APART_MS);
     crash("e-2", DEADLY);
     settle();
-    assertFalse(registry.needsTurn(DEADLY));
+    assertFalse(registry.needsLease(DEADLY));
     crash("e-3", DEADLY);
     settle();
-    assertTrue(registry.needsTurn(DEADLY));
-    other.heard(registry.all(), nowMs);
+    assertTrue(registry.needsLease(DEADLY));
+    other.merge(registry.fullUpdate(), nowMs);
     // Both request a lease at the same time; the host with the lower name takes precedence.
-    CrashNews otherLease = other.askTurn(DEADLY, nowMs);
-    CrashNews ownLease = registry.askTurn(DEADLY, nowMs);
-    assertTrue(registry.beginTurn(DEADLY, nowMs).isEmpty(), "no other host can have received it");
-    assertTrue(registry.heard(otherLease, nowMs + 30).isEmpty());
-    assertFalse(other.heard(ownLease, nowMs + 30).isEmpty(), "to be forwarded");
+    CrashUpdate otherLease = other.requestLease(DEADLY, nowMs);
+    CrashUpdate ownLease = registry.requestLease(DEADLY, nowMs);
+    assertTrue(
+        registry.acquireLease(DEADLY, nowMs).isEmpty(), "no other host can have received it");
+    assertTrue(registry.merge(otherLease, nowMs + 30).isEmpty());
+    assertFalse(other.merge(ownLease, nowMs + 30).isEmpty(), "to be forwarded");
     nowMs += ExecutionLeases.PROPAGATION_MS;
-    assertTrue(other.beginTurn(DEADLY, nowMs).isEmpty());
-    assertTrue(registry.beginTurn(DEADLY, nowMs).isPresent());
-    assertTrue(registry.beginTurn(DEADLY, nowMs).isEmpty(), "one copy");
+    assertTrue(other.acquireLease(DEADLY, nowMs).isEmpty());
+    assertTrue(registry.acquireLease(DEADLY, nowMs).isPresent());
+    assertTrue(registry.acquireLease(DEADLY, nowMs).isEmpty(), "one copy");
     // The request crashes an endpoint; the next lease goes to the first host that requests it.
-    other.heard(
-        registry.crashed(new HostIdentity("e-4", 1), DEADLY.knownFingerprint(), nowMs, nowMs),
+    other.merge(
+        registry.recordCrash(new HostIdentity("e-4", 1), DEADLY.knownFingerprint(), nowMs, nowMs),
         nowMs);
     advance(APART_MS);
-    assertFalse(other.askTurn(DEADLY, nowMs).isEmpty());
+    assertFalse(other.requestLease(DEADLY, nowMs).isEmpty());
   }
 
   @Test
   void leaseIsReleasedOrExpires() {
-    CrashLedger other = new CrashLedger(new HostIdentity("host-2", 1));
-    other.heard(registry.askTurn(DEADLY, nowMs), nowMs);
+    CrashRegistry other = new CrashRegistry(new HostIdentity("host-2", 1));
+    other.merge(registry.requestLease(DEADLY, nowMs), nowMs);
     advance(ExecutionLeases.PROPAGATION_MS);
-    SuspectTurn lease = registry.beginTurn(DEADLY, nowMs).orElseThrow();
-    assertTrue(registry.lasts(lease, nowMs));
-    registry.endTurn(lease);
-    assertFalse(registry.lasts(lease, nowMs));
-    assertFalse(registry.askTurn(DEADLY, nowMs).isEmpty());
-    assertTrue(other.askTurn(DEADLY, nowMs).isEmpty(), "it has not received the release");
-    SuspectTurn second = acquiredLease();
-    registry.endTurn(lease);
-    assertTrue(registry.lasts(second, nowMs), "released by the holder of the previous lease");
+    ExecutionLease lease = registry.acquireLease(DEADLY, nowMs).orElseThrow();
+    assertTrue(registry.isLeaseValid(lease, nowMs));
+    registry.releaseLease(lease);
+    assertFalse(registry.isLeaseValid(lease, nowMs));
+    assertFalse(registry.requestLease(DEADLY, nowMs).isEmpty());
+    assertTrue(other.requestLease(DEADLY, nowMs).isEmpty(), "it has not received the release");
+    ExecutionLease second = acquiredLease();
+    registry.releaseLease(lease);
+    assertTrue(
+        registry.isLeaseValid(second, nowMs), "released by the holder of the previous lease");
     advance(ExecutionLeases.LEASE_MS);
-    assertFalse(registry.lasts(second, nowMs));
-    assertFalse(other.askTurn(DEADLY, nowMs).isEmpty());
+    assertFalse(registry.isLeaseValid(second, nowMs));
+    assertFalse(other.requestLease(DEADLY, nowMs).isEmpty());
   }
 
-  private SuspectTurn acquiredLease() {
+  private ExecutionLease acquiredLease() {
     advance(ExecutionLeases.PROPAGATION_MS);
-    return registry.beginTurn(DEADLY, nowMs).orElseThrow();
+    return registry.acquireLease(DEADLY, nowMs).orElseThrow();
   }
 
   private void threeAmbiguousCrashes() {
@@ -124,12 +127,12 @@
     }
   }
 
-  private CrashNews inconclusiveRun() {
+  private CrashUpdate inconclusiveRun() {
     advance(ExecutionLeases.LEASE_MS);
-    assertFalse(registry.askTurn(DEADLY, nowMs).isEmpty());
-    SuspectTurn lease = acquiredLease();
+    assertFalse(registry.requestLease(DEADLY, nowMs).isEmpty());
+    ExecutionLease lease = acquiredLease();
     advance(1_100);
-    return registry.spendTurn(lease);
+    return registry.recordInconclusiveRun(lease);
   }
 
   /**
@@ -138,20 +141,20 @@
    */
   @Test
   void requestIsQuarantinedOnAllHostsAfterThreeInconclusiveRuns() {
-    CrashLedger other = new CrashLedger(new HostIdentity("host-2", 1));
+    CrashRegistry other = new CrashRegistry(new HostIdentity("host-2", 1));
     threeAmbiguousCrashes();
     for (int i = 0; i < InconclusiveRunTable.MAX_RUNS; i++) {
       assertEquals(0, registry.quarantinedUntilMs(DEADLY));
-      CrashNews update = inconclusiveRun();
-      assertFalse(other.heard(update, nowMs).isEmpty(), "to be forwarded");
-      assertTrue(other.heard(update, nowMs + 40).isEmpty(), "forwarded twice");
+      CrashUpdate update = inconclusiveRun();
+      assertFalse(other.merge(update, nowMs).isEmpty(), "to be forwarded");
+      assertTrue(other.merge(update, nowMs + 40).isEmpty(), "forwarded twice");
     }
-    other.heard(registry.all(), nowMs);
-    for (CrashLedger host : List.of(registry, other)) {
+    other.merge(registry.fullUpdate(), nowMs);
+    for (CrashRegistry host : List.of(registry, other)) {
       long untilMs = host.quarantinedUntilMs(DEADLY);
       assertTrue(untilMs > nowMs + InconclusiveRunTable.QUARANTINE_MS / 2);
-      assertTrue(host.askTurn(DEADLY, untilMs - 1).isEmpty());
-      assertFalse(host.askTurn(DEADLY, untilMs).isEmpty(), "one more after it");
+      assertTrue(host.requestLease(DEADLY, untilMs - 1).isEmpty());
+      assertFalse(host.requestLease(DEADLY, untilMs).isEmpty(), "one more after it");
     }
   }
 
@@ -165,7 +168,7 @@
       crash("g-" + i, new TestContent(10 + i));
       advance(3_000);
     }
-    assertNotEquals(CrashVerdict.REFUSED, registry.verdict(DEADLY, nowMs));
+    assertNotEquals(CrashVerdict.REJECTED, registry.verdict(DEADLY, nowMs));
     assertTrue(registry.quarantinedUntilMs(DEADLY) > nowMs);
   }
 
@@ -176,7 +179,7 @@
       crash("o-" + i, new TestContent(100 + i));
       advance(500);
     }
-    assertTrue(registry.needsTurn(DEADLY));
+    assertTrue(registry.needsLease(DEADLY));
   }
 
   @Test
@@ -186,19 +189,19 @@
       advance(100);
     }
     threeAmbiguousCrashes();
-    assertTrue(registry.needsTurn(DEADLY));
+    assertTrue(registry.needsLease(DEADLY));
   }
 
   @Test
   void answerEndsQuarantineOnAllHosts() {
-    CrashLedger other = new CrashLedger(new HostIdentity("host-2", 1));
+    CrashRegistry other = new CrashRegistry(new HostIdentity("host-2", 1));
     threeAmbiguousCrashes();
     for (int i = 0; i < InconclusiveRunTable.MAX_RUNS; i++) {
       inconclusiveRun();
     }
-    other.heard(registry.all(), nowMs);
-    CrashNews answered = registry.served(DEADLY, nowMs);
-    other.heard(answered, nowMs);
+    other.merge(registry.fullUpdate(), nowMs);
+    CrashUpdate answered = registry.recordAnswer(DEADLY, nowMs);
+    other.merge(answered, nowMs);
     assertEquals(0, registry.quarantinedUntilMs(DEADLY));
     assertEquals(0, other.quarantinedUntilMs(DEADLY));
   }
@@ -206,9 +209,9 @@
   @Test
   void leaseWithKnownCrashIsNotCountedAsInconclusive() {
     threeAmbiguousCrashes();
-    registry.askTurn(DEADLY, nowMs);
-    SuspectTurn lease = acquiredLease();
+    registry.requestLease(DEADLY, nowMs);
+    ExecutionLease lease = acquiredLease();
     crash("f-1", DEADLY);
-    assertTrue(registry.spendTurn(lease).isEmpty());
+    assertTrue(registry.recordInconclusiveRun(lease).isEmpty());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineCandidateTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineCandidateTest.java
@@ -16,7 +16,7 @@
 import org.fawndrum.state.EngineProfile;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 import org.junit.jupiter.api.Test;
 
 /** The work of a prompt segment on an engine. */
@@ -56,15 +56,15 @@
       @ForAll @IntRange(min = 1, max = 17) int engines) {
     EngineForecast.PrefillWork segment = segmentOf(tokens, engines, 0);
     assertEquals(tokens / engines + (tokens % engines == 0 ? 0 : 1), segment.tokens());
-    assertEquals(PROFILE.readMs(tokens) / engines, segment.ms());
+    assertEquals(PROFILE.prefillMs(tokens) / engines, segment.ms());
   }
 
   @Test
   void segmentTimeIsProportionalToSlowness() {
-    EngineJob job = new EngineJob(1, ENGINE, 20_000, 0, 1, true, RequestAims.NONE, 0);
+    EngineJob job = new EngineJob(1, ENGINE, 20_000, 0, 1, true, LatencyTargets.NONE, 0);
     state.load().add(job, 0);
-    state.load().read(1, 2_000);
-    double expected = PROFILE.readMs(50_000) / 4 * state.load().slowness(2_000);
+    state.load().recordFirstToken(1, 2_000);
+    double expected = PROFILE.prefillMs(50_000) / 4 * state.load().slowness(2_000);
     assertEquals(expected, segmentOf(50_000, 4, 2_000).ms());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineForecastTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineForecastTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.statistics.Statistics;
 import org.fawndrum.state.EngineProfile;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 
 /**
  * Compares every field of a forecast with its formula, computed from a simulation beside the load.
@@ -70,7 +70,7 @@
     int segments = random.nextInt(3) == 0 ? 2 + random.nextInt(4) : 1;
     boolean decodes = segments == 1 || random.nextBoolean();
     long prompt = PROMPTS[random.nextInt(PROMPTS.length)];
-    RequestAims aims = new RequestAims(300, random.nextBoolean() ? 250 : 0, 2);
+    LatencyTargets aims = new LatencyTargets(300, random.nextBoolean() ? 250 : 0, 2);
     long sentMs = Math.max(0, nowMs - random.nextInt(30));
     return new EngineJob(id, ENGINE, prompt, prompt, segments, decodes, aims, sentMs);
   }
@@ -84,12 +84,12 @@
   }
 
   private void recordFirstToken(long id, long nowMs) {
-    load.read(id, nowMs);
+    load.recordFirstToken(id, nowMs);
     JobProgress entry = iterations.entry(id);
     if (entry == null || entry.firstTokenConfirmed) {
       return;
     }
-    if (entry.job.writes()) {
+    if (entry.job.decodes()) {
       iterations.confirmFirstToken(entry, nowMs);
     } else {
       entry.confirmFirstToken(nowMs);
@@ -97,7 +97,7 @@
   }
 
   private void remove(long id, long nowMs) {
-    load.ended(id, nowMs);
+    load.remove(id, nowMs);
     iterations.remove(id, nowMs);
   }
 
@@ -117,14 +117,15 @@
     for (JobProgress entry : iterations.entries()) {
       EngineJob job = entry.job;
       boolean prefilled = entry.isPrefilled();
-      boolean overdue = job.writes() && prefilled && !entry.firstTokenConfirmed && job.parts() == 1;
+      boolean overdue =
+          job.decodes() && prefilled && !entry.firstTokenConfirmed && job.segments() == 1;
       overdueMs = Math.max(overdueMs, overdue ? nowMs - entry.prefilledAtMs : 0);
-      sharedMs += job.parts() > 1 && !prefilled ? entry.unscheduledMs() * slowness : 0;
-      sharedInIteration |= job.parts() > 1 && !prefilled && entry.inIterationMs > 0;
-      streams += job.writes() ? 1 : 0;
-      shortStreams += job.writes() && job.promptTokens() < LONG_TOKENS ? 1 : 0;
-      helperSegments += job.writes() || prefilled ? 0 : 1;
-      if (job.writes() && prefilled && !entry.paused) {
+      sharedMs += job.segments() > 1 && !prefilled ? entry.unscheduledMs() * slowness : 0;
+      sharedInIteration |= job.segments() > 1 && !prefilled && entry.inIterationMs > 0;
+      streams += job.decodes() ? 1 : 0;
+      shortStreams += job.decodes() && job.promptTokens() < LONG_TOKENS ? 1 : 0;
+      helperSegments += job.decodes() || prefilled ? 0 : 1;
+      if (job.decodes() && prefilled && !entry.paused) {
         unpausedStreams.add(job);
       }
     }
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineLoadTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineLoadTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.Size;
 import org.fawndrum.state.EngineProfile;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 import org.junit.jupiter.api.Test;
 
 /** The forecasts of one engine's model, and that completed jobs leave nothing in it. */
@@ -21,7 +21,7 @@
   private static final EngineProfile PROFILE =
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
   private static final HostIdentity ENGINE = new HostIdentity("e", 0);
-  private static final RequestAims AIMS = new RequestAims(300, 250, 2);
+  private static final LatencyTargets AIMS = new LatencyTargets(300, 250, 2);
   private static final long LONG_TOKENS = 25_000;
 
   /** The decode steps of an iteration with one stream, rounded up, in milliseconds. */
@@ -39,7 +39,7 @@
 
   private static EngineForecast.PrefillWork segment(long promptTokens, int segments) {
     return new EngineForecast.PrefillWork(
-        PROFILE.readMs(promptTokens) / segments, promptTokens / segments);
+        PROFILE.prefillMs(promptTokens) / segments, promptTokens / segments);
   }
 
   private EngineForecast forecast(long nowMs) {
@@ -61,8 +61,8 @@
           any.add(job(id, 1_000 * (id + 1), 1 + (int) (id % 3), nowMs), nowMs);
           ids.add(id);
         }
-        case 1 -> any.read(id, nowMs);
-        default -> any.ended(id, nowMs);
+        case 1 -> any.recordFirstToken(id, nowMs);
+        default -> any.remove(id, nowMs);
       }
       EngineForecast forecast = any.forecast(LONG_TOKENS, nowMs);
       assertTrue(forecast.iterationRemainingMs() >= 0 && forecast.waiting().ms() >= 0);
@@ -70,9 +70,9 @@
       assertTrue(any.slowness(nowMs) >= 1);
     }
     for (long id : ids) {
-      any.ended(id, nowMs);
+      any.remove(id, nowMs);
     }
-    assertEquals(0, any.size());
+    assertEquals(0, any.jobCount());
     assertEquals(0, any.memoryTokens());
     assertEquals(0, any.forecast(LONG_TOKENS, nowMs).waiting().ms());
     assertEquals(0, any.forecast(LONG_TOKENS, nowMs + 60_000).iterationRemainingMs());
@@ -81,7 +81,7 @@
   @Test
   void idleEnginePrefillsAtOnceAndDecodesAtTheEndOfTheIteration() {
     load.add(job(1, 50_000, 1, 0), 0);
-    double wholeMs = PROFILE.readMs(50_000) + PROFILE.passMs(1, 50_000);
+    double wholeMs = PROFILE.prefillMs(50_000) + PROFILE.iterationMs(1, 50_000);
     assertEquals(wholeMs, forecast(0).iterationRemainingMs(), 0.001);
     assertEquals(forecast(0).iterationRemainingMs() - 100, forecast(100).iterationRemainingMs(), 1);
   }
@@ -92,7 +92,7 @@
     double remainingMs = forecast(50).iterationRemainingMs();
     load.add(job(2, 20_000, 1, 50), 50);
     assertEquals(remainingMs, forecast(50).iterationRemainingMs(), 0.001);
-    assertEquals(PROFILE.readMs(20_000), forecast(50).waiting().ms(), 0.001);
+    assertEquals(PROFILE.prefillMs(20_000), forecast(50).waiting().ms(), 0.001);
   }
 
   @Test
@@ -100,13 +100,13 @@
     load.add(job(1, 50_000, 1, 30), 30);
     double remainingMs = forecast(50).iterationRemainingMs();
     load.add(job(2, 20_000, 1, 20), 50);
-    assertEquals(remainingMs + PROFILE.readMs(20_000), forecast(50).iterationRemainingMs(), 2);
+    assertEquals(remainingMs + PROFILE.prefillMs(20_000), forecast(50).iterationRemainingMs(), 2);
   }
 
   @Test
   void streamsPauseDuringPrefill() {
     load.add(job(1, 5_000, 1, 0), 0);
-    load.read(1, 70);
+    load.recordFirstToken(1, 70);
     double idlePauseMs = forecast(80).pauseMs();
     EngineForecast.PrefillWork segment = segment(50_000, 1);
     assertEquals(idlePauseMs + segment.ms(), forecast(80).pauseMs(segment), 0.001);
@@ -119,7 +119,7 @@
   @Test
   void prefillPerIterationIsBoundedWhileStreamsDecode() {
     load.add(job(1, 5_000, 1, 0), 0);
-    load.read(1, 70);
+    load.recordFirstToken(1, 70);
     EngineForecast.PrefillWork segment = segment(200_000, 1);
     double pauseMs = forecast(80).pauseMs(segment);
     assertTrue(pauseMs < segment.ms() / 2 + STEPS_MS, pauseMs + " of " + segment.ms());
@@ -142,7 +142,7 @@
     load.add(helperJob(1, 200_000, 2, 0), 0);
     double wholeMs = forecast(0).sharedMs();
     load.add(helperJob(2, 40_000, 2, 500), 500);
-    double segmentMs = PROFILE.readMs(40_000) / 2;
+    double segmentMs = PROFILE.prefillMs(40_000) / 2;
     assertEquals(segmentMs, forecast(500).iterationRemainingMs(), 1);
     assertEquals(wholeMs - 500 + segmentMs, forecast(500).sharedMs(), 1);
     assertEquals(
@@ -154,7 +154,7 @@
   @Test
   void newSegmentWaitsForTheEndOfTheIterationWhileAStreamDecodes() {
     load.add(job(1, 5_000, 1, 0), 0);
-    load.read(1, 70);
+    load.recordFirstToken(1, 70);
     load.add(helperJob(2, 100_000, 2, 80), 80);
     EngineForecast busy = forecast(200);
     assertFalse(busy.preemptible());
@@ -174,7 +174,7 @@
   void earlyFirstTokenEndsTheIteration() {
     load.add(job(1, 100_000, 1, 0), 0);
     load.add(job(2, 5_000, 1, 10), 10);
-    load.read(1, 200);
+    load.recordFirstToken(1, 200);
     assertEquals(0, forecast(200).waiting().ms());
     assertTrue(forecast(200).iterationRemainingMs() < 2 * STEPS_MS);
   }
@@ -182,13 +182,13 @@
   @Test
   void iterationThatEndsEarlyHasNotPrefilledItsOtherSegments() {
     load.add(job(1, 5_000, 1, 0), 0);
-    load.read(1, 70);
+    load.recordFirstToken(1, 70);
     load.add(job(2, 5_000, 1, 71), 71);
     load.add(helperJob(3, 200_000, 4, 72), 72);
     double wholeMs = forecast(72).sharedMs();
     // Both are scheduled in the next iteration; the first token of one shows that the other was not
     // segment of it.
-    load.read(2, 200);
+    load.recordFirstToken(2, 200);
     assertTrue(forecast(200).sharedMs() > wholeMs / 2, forecast(200) + " of " + wholeMs);
   }
 
@@ -201,7 +201,7 @@
   @Test
   void observedSlownessDecays() {
     load.add(job(1, 20_000, 1, 0), 0);
-    load.read(1, 2_000);
+    load.recordFirstToken(1, 2_000);
     double slow = load.slowness(2_000);
     assertTrue(slow > 2, "slowness " + slow);
     assertTrue(load.slowness(30_000) < 1.1);
@@ -212,7 +212,7 @@
   void engineWithoutStepFiguresStillHasIterations() {
     EngineLoad odd = new EngineLoad(new EngineProfile(11, 232_000, 0, 0, 0, 0, 206, 0, 0, 0));
     odd.add(job(1, 1_000, 1, 0), 0);
-    odd.read(1, 10);
+    odd.recordFirstToken(1, 10);
     odd.add(job(2, 1_000, 1, 20), 20);
     assertEquals(2, odd.forecast(LONG_TOKENS, 1_000).streams());
   }
@@ -221,9 +221,9 @@
   void plainServiceJobsAreOnlyCounted() {
     EngineLoad plain = new EngineLoad(null);
     plain.add(new EngineJob(1, ENGINE, 0, 0, 1, true, AIMS, 0), 0);
-    plain.read(1, 10);
-    assertEquals(1, plain.size());
-    plain.ended(1, 20);
-    assertEquals(0, plain.size());
+    plain.recordFirstToken(1, 10);
+    assertEquals(1, plain.jobCount());
+    plain.remove(1, 20);
+    assertEquals(0, plain.jobCount());
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineModelPlacementTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineModelPlacementTest.java
@@ -31,9 +31,9 @@
 import org.fawndrum.state.EngineProfile;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 import org.fawndrum.state.Row;
-import org.fawndrum.state.TableParts;
+import org.fawndrum.state.TableRevisionBuilder;
 import org.junit.jupiter.api.Test;
 
 /** Which engines prompts of different lengths are sent to. */
@@ -42,8 +42,8 @@
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
   private static final HostIdentity SELF = new HostIdentity("host-1", 1);
   private static final CallerGroup GROUP = new CallerGroup("desk", "ask");
-  private static final RequestAims SHORT_AIMS = new RequestAims(300, 250, 2);
-  private static final RequestAims LONG_AIMS = new RequestAims(2_500, 1_000, 2);
+  private static final LatencyTargets SHORT_AIMS = new LatencyTargets(300, 250, 2);
+  private static final LatencyTargets LONG_AIMS = new LatencyTargets(2_500, 1_000, 2);
 
   private boolean byZone;
   private Set<String> silentZones = Set.of();
@@ -56,7 +56,7 @@
 
   EngineModelPlacementTest() {
     Row row = Row.EMPTY.with(Column.DEADLINE_MS, new Cell("15000", 0, "ana"));
-    coordinator.table(new TableParts(0, 0).row(GROUP, row).build(), 0);
+    coordinator.updateTable(new TableRevisionBuilder(0, 0).row(GROUP, row).build(), 0);
   }
 
   private void engines(int count) {
@@ -77,10 +77,10 @@
               PROFILE.memoryTokens(),
               Optional.of(PROFILE)));
     }
-    coordinator.endpoints(engines, 0);
+    coordinator.updateEndpoints(engines, 0);
   }
 
-  private Optional<Action.Send> sendRequest(long promptTokens, RequestAims aims, long nowMs) {
+  private Optional<Action.Send> sendRequest(long promptTokens, LatencyTargets aims, long nowMs) {
     RequestFacts facts =
         new RequestFacts(
             "r-" + nextRequest++,
@@ -97,7 +97,7 @@
   }
 
   private void firstToken(Action.Send send, long nowMs) {
-    coordinator.attempt(send.attempt(), AttemptEvent.ANSWERING, nowMs);
+    coordinator.attemptEvent(send.attempt(), AttemptEvent.ANSWERING, nowMs);
   }
 
   @Test
@@ -149,16 +149,18 @@
   void updatesNameTheZoneOfTheirEndpoint() {
     engines(1, 1);
     Action.Send send = sendRequest(1_000, SHORT_AIMS, 0).orElseThrow();
-    List<Action> afterFirstToken = coordinator.attempt(send.attempt(), AttemptEvent.ANSWERING, 50);
-    List<Action> afterCompletion = coordinator.attempt(send.attempt(), AttemptEvent.ANSWERED, 90);
+    List<Action> afterFirstToken =
+        coordinator.attemptEvent(send.attempt(), AttemptEvent.ANSWERING, 50);
+    List<Action> afterCompletion =
+        coordinator.attemptEvent(send.attempt(), AttemptEvent.ANSWERED, 90);
     assertEquals(List.of("zone-b"), announcedZones(afterFirstToken));
     assertEquals(List.of("zone-b"), announcedZones(afterCompletion));
   }
 
   private static List<String> announcedZones(List<Action> actions) {
     return actions.stream()
-        .filter(action -> action instanceof Action.Announce)
-        .map(action -> ((Action.Announce) action).zone())
+        .filter(action -> action instanceof Action.BroadcastWork)
+        .map(action -> ((Action.BroadcastWork) action).zone())
         .toList();
   }
 
@@ -185,7 +187,7 @@
       assertTrue(sendRequest(1_000, SHORT_AIMS, 0).isPresent());
     }
     assertTrue(sendRequest(1_000, SHORT_AIMS, 0).isEmpty());
-    assertEquals(1, coordinator.waiting());
+    assertEquals(1, coordinator.waitingCount());
   }
 
   @Test
@@ -194,11 +196,11 @@
     HostIdentity busy = sendRequest(5_000, SHORT_AIMS, 0).orElseThrow().endpoint().identity();
     HostIdentity other = new HostIdentity("host-2", 1);
     EngineJob job = new EngineJob(1, busy, 200_000, 201_000, 1, true, LONG_AIMS, 10);
-    List<EngineNews> updates = List.of(new EngineNews.Placed(job));
+    List<EngineUpdate> updates = List.of(new EngineUpdate.Placed(job));
     FleetReport report = new FleetReport(other, Optional.empty(), 1, "zone-a", false, updates);
-    coordinator.told(List.of(report), 10);
+    coordinator.peerWorkReported(List.of(report), 10);
     assertNotEquals(busy, sendRequest(5_000, SHORT_AIMS, 20).orElseThrow().endpoint().identity());
-    coordinator.daemonGone(other, 30);
+    coordinator.daemonRemoved(other, 30);
     assertEquals(busy, sendRequest(5_000, SHORT_AIMS, 40).orElseThrow().endpoint().identity());
   }
 
@@ -209,7 +211,7 @@
     HostIdentity atFault = send.helpers().get(0).endpoint().identity();
     coordinator.helperRefused(send.attempt(), atFault, 5);
     Action.Send again =
-        coordinator.attempt(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT, 5).stream()
+        coordinator.attemptEvent(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT, 5).stream()
             .filter(action -> action instanceof Action.Send)
             .map(action -> (Action.Send) action)
             .findFirst()
@@ -219,7 +221,7 @@
     assertNotEquals(atFault, again.endpoint().identity());
     assertEquals(send.endpoint(), again.endpoint());
     // During its prefill, another prompt of its length would wait.
-    coordinator.attempt(again.attempt(), AttemptEvent.ANSWERED, 8);
+    coordinator.attemptEvent(again.attempt(), AttemptEvent.ANSWERED, 8);
     Action.Send other = sendRequest(400_000, LONG_AIMS, 10).orElseThrow();
     assertTrue(
         other.helpers().stream().noneMatch(one -> one.endpoint().identity().equals(atFault)));
@@ -265,11 +267,11 @@
     engines(8);
     Action.Send older = sendRequest(400_000, LONG_AIMS, 0).orElseThrow();
     assertTrue(sendRequest(400_000, LONG_AIMS, 100).isEmpty());
-    assertEquals(1, coordinator.waiting());
+    assertEquals(1, coordinator.waitingCount());
     firstToken(older, 1_900);
-    coordinator.attempt(older.attempt(), AttemptEvent.ANSWERED, 1_950);
+    coordinator.attemptEvent(older.attempt(), AttemptEvent.ANSWERED, 1_950);
     coordinator.tick(2_000);
-    assertEquals(0, coordinator.waiting());
+    assertEquals(0, coordinator.waitingCount());
   }
 
   /** Each number is a step: a prompt of some length, or the completion of the oldest one. */
@@ -283,7 +285,8 @@
       nowMs += 15;
       if (step == 0 && !open.isEmpty()) {
         Action.Send oldest = open.remove(0);
-        open.addAll(sends(coordinator.attempt(oldest.attempt(), AttemptEvent.ANSWERED, nowMs)));
+        open.addAll(
+            sends(coordinator.attemptEvent(oldest.attempt(), AttemptEvent.ANSWERED, nowMs)));
       } else {
         sendRequest(1L << (9 + step), step < 5 ? SHORT_AIMS : LONG_AIMS, nowMs)
             .ifPresent(open::add);
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/PlacementFormulaTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/PlacementFormulaTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.statistics.Statistics;
 import org.fawndrum.coordination.EndpointState;
-import org.fawndrum.coordination.PassedOver;
+import org.fawndrum.coordination.PassedOverEndpoint;
 import org.fawndrum.coordination.Placement;
 import org.fawndrum.coordination.Reason;
 import org.fawndrum.coordination.RequestFacts;
@@ -26,7 +26,7 @@
 import org.fawndrum.state.EngineProfile;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 
 /** Compares the placement with its formula, implemented without any optimization. */
 class PlacementFormulaTest {
@@ -36,8 +36,11 @@
           new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075),
           new EngineProfile(4, 90_001, 20, 4, 0.1, 0.02, 30, 0.5, 512, 0.5));
   private static final long[] PROMPTS = {300, 1_000, 5_000, 24_999, 60_001, 120_000, 200_003};
-  private static final List<RequestAims> AIMS =
-      List.of(RequestAims.NONE, new RequestAims(300, 250, 2), new RequestAims(2_500, 1_000, 2));
+  private static final List<LatencyTargets> AIMS =
+      List.of(
+          LatencyTargets.NONE,
+          new LatencyTargets(300, 250, 2),
+          new LatencyTargets(2_500, 1_000, 2));
 
   /**
    * Minimum remaining prefill time of earlier segments for which a prompt waits, in milliseconds.
@@ -76,7 +79,7 @@
         excluded.add(state.endpoint().identity());
       }
     }
-    RequestAims aims = AIMS.get(random.nextInt(AIMS.size()));
+    LatencyTargets aims = AIMS.get(random.nextInt(AIMS.size()));
     long arrivedMs = nowMs - (random.nextBoolean() ? 0 : random.nextInt(3_000));
     RequestFacts facts =
         new RequestFacts(
@@ -114,7 +117,7 @@
       int segments = random.nextInt(3) == 0 ? 2 + random.nextInt(8) : 1;
       boolean decodes = segments == 1 || random.nextInt(segments) == 0;
       long prompt = prompt(random);
-      RequestAims aims = AIMS.get(random.nextInt(AIMS.size()));
+      LatencyTargets aims = AIMS.get(random.nextInt(AIMS.size()));
       HostIdentity at = state.endpoint().identity();
       state
           .load()
@@ -122,10 +125,10 @@
               new EngineJob(id, at, prompt, prompt / segments, segments, decodes, aims, sentMs),
               sentMs);
       if (random.nextInt(3) == 0) {
-        state.load().read(id, sentMs + random.nextInt((int) (nowMs - sentMs) + 1));
+        state.load().recordFirstToken(id, sentMs + random.nextInt((int) (nowMs - sentMs) + 1));
       }
       if (random.nextInt(8) == 0) {
-        state.load().ended(id, nowMs);
+        state.load().remove(id, nowMs);
       }
     }
   }
@@ -192,7 +195,7 @@
           candidates.stream()
               .filter(one -> one != first)
               .limit(3)
-              .map(one -> new PassedOver(one.name(), Math.round(singleEngineMs(one))))
+              .map(one -> new PassedOverEndpoint(one.name(), Math.round(singleEngineMs(one))))
               .toList(),
           helpers,
           OptionalLong.of(Math.round(plan.firstTokenMs)));
@@ -285,7 +288,7 @@
     }
 
     private EngineForecast.PrefillWork segment(EngineCandidate one, int count) {
-      double ms = one.profile().readMs(facts.promptTokens()) / count * one.forecast().slowness();
+      double ms = one.profile().prefillMs(facts.promptTokens()) / count * one.forecast().slowness();
       return new EngineForecast.PrefillWork(ms, roundedUp(facts.promptTokens(), count));
     }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetOverlayTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetOverlayTest.java
@@ -40,18 +40,18 @@
 
   private static FleetReport complete(FleetMember of, long sequence) {
     return new FleetReport(
-        of.identity(), Optional.of(of), sequence, FleetReport.EVERYWHERE, true, List.of());
+        of.identity(), Optional.of(of), sequence, FleetReport.ALL_ZONES, true, List.of());
   }
 
   private static FleetReport partial(FleetMember of, long sequence) {
     return new FleetReport(
-        of.identity(), Optional.empty(), sequence, FleetReport.EVERYWHERE, false, List.of());
+        of.identity(), Optional.empty(), sequence, FleetReport.ALL_ZONES, false, List.of());
   }
 
   @Test
   void newIncarnationReplacesThePreviousOne() {
-    overlay.heardDirectly(member("a-3", 1, "a", 1), true, 0);
-    overlay.heardDirectly(member("a-3", 2, "a", 1), true, 10);
+    overlay.receivedFrom(member("a-3", 1, "a", 1), true, 0);
+    overlay.receivedFrom(member("a-3", 2, "a", 1), true, 10);
     assertEquals(List.of("+a-3/1", "-a-3/1 10", "+a-3/2"), events);
     assertEquals(List.of(member("a-3", 2, "a", 1)), overlay.alive());
   }
@@ -59,21 +59,21 @@
   /** While a host is not reporting, more crashes are required as evidence against a request. */
   @Test
   void allHostsReportAgainAfterARestart() {
-    overlay.heardDirectly(member("a-3", 1, "a", 1), true, 0);
-    assertTrue(overlay.hearsAll(1_000));
-    assertFalse(overlay.hearsAll(5_000));
-    overlay.heardDirectly(member("a-3", 2, "a", 1), true, 5_000);
-    assertTrue(overlay.hearsAll(5_000));
+    overlay.receivedFrom(member("a-3", 1, "a", 1), true, 0);
+    assertTrue(overlay.allHostsReporting(1_000));
+    assertFalse(overlay.allHostsReporting(5_000));
+    overlay.receivedFrom(member("a-3", 2, "a", 1), true, 5_000);
+    assertTrue(overlay.allHostsReporting(5_000));
   }
 
   @Test
   void lateReportOfThePreviousIncarnationIsDropped() {
     FleetMember before = member("a-3", 1, "a", 1);
     FleetMember now = member("a-3", 2, "a", 1);
-    assertTrue(overlay.take(complete(before, 30), 0));
-    assertTrue(overlay.take(complete(now, 1), 10));
-    assertFalse(overlay.take(complete(before, 31), 20));
-    assertFalse(overlay.take(complete(now, 1), 30));
+    assertTrue(overlay.accept(complete(before, 30), 0));
+    assertTrue(overlay.accept(complete(now, 1), 10));
+    assertFalse(overlay.accept(complete(before, 31), 20));
+    assertFalse(overlay.accept(complete(now, 1), 30));
     assertEquals(List.of(now), overlay.alive());
   }
 
@@ -86,7 +86,7 @@
     int hops = 0;
     while (!passed.isEmpty() && hops < 100) {
       FleetOverlay next = hops % 2 == 0 ? overlay : other;
-      passed = passed.stream().filter(report -> next.take(report, 0)).toList();
+      passed = passed.stream().filter(report -> next.accept(report, 0)).toList();
       hops++;
     }
     assertTrue(hops <= 4, "hops " + hops);
@@ -94,88 +94,88 @@
 
   @Test
   void directMessageOfAnEarlierIncarnationIsAccepted() {
-    overlay.heardDirectly(member("a-3", 9, "a", 1), true, 0);
-    overlay.heardDirectly(member("a-3", 4, "a", 1), true, 10);
+    overlay.receivedFrom(member("a-3", 9, "a", 1), true, 0);
+    overlay.receivedFrom(member("a-3", 4, "a", 1), true, 10);
     assertEquals(List.of(member("a-3", 4, "a", 1)), overlay.alive());
   }
 
   @Test
   void zoneIsSilentIfNoneOfItsDaemonsReports() {
-    overlay.heardDirectly(member("b-1", 1, "b", 1), false, 0);
-    overlay.heardDirectly(member("b-2", 1, "b", 1), false, 1_500);
-    overlay.heardDirectly(member("a-3", 1, "a", 1), false, 0);
+    overlay.receivedFrom(member("b-1", 1, "b", 1), false, 0);
+    overlay.receivedFrom(member("b-2", 1, "b", 1), false, 1_500);
+    overlay.receivedFrom(member("a-3", 1, "a", 1), false, 0);
     assertEquals(Set.of(), overlay.silentZones(3_500));
     assertEquals(Set.of("b"), overlay.silentZones(3_501));
-    assertTrue(overlay.take(complete(member("b-1", 1, "b", 1), 5), 4_000));
+    assertTrue(overlay.accept(complete(member("b-1", 1, "b", 1), 5), 4_000));
     assertEquals(Set.of(), overlay.silentZones(4_001));
   }
 
   @Test
   void silentDaemonIsGoneOnceAndItsAddressIsKeptForAMinute() {
     FleetMember other = member("a-3", 1, "a", 1);
-    overlay.heardDirectly(other, false, 0);
-    overlay.forget(3_500);
+    overlay.receivedFrom(other, false, 0);
+    overlay.expire(3_500);
     assertEquals(List.of("+a-3/1"), events);
-    overlay.forget(3_501);
-    overlay.forget(4_501);
+    overlay.expire(3_501);
+    overlay.expire(4_501);
     assertEquals(List.of("+a-3/1", "-a-3/1 3501"), events);
     assertEquals(List.of(), overlay.alive());
-    overlay.forget(60_000);
-    assertEquals(List.of(other.address()), overlay.silent());
-    overlay.forget(60_001);
-    assertEquals(List.of(), overlay.silent());
+    overlay.expire(60_000);
+    assertEquals(List.of(other.address()), overlay.silentAddresses());
+    overlay.expire(60_001);
+    assertEquals(List.of(), overlay.silentAddresses());
   }
 
   @Test
   void ownIdentityIsIgnored() {
-    overlay.heardDirectly(self, true, 0);
-    overlay.learn(List.of(self, member("a-3", 1, "a", 1)), 0);
-    assertFalse(overlay.take(complete(self, 9), 0));
+    overlay.receivedFrom(self, true, 0);
+    overlay.addMembers(List.of(self, member("a-3", 1, "a", 1)), 0);
+    assertFalse(overlay.accept(complete(self, 9), 0));
     assertEquals(List.of(member("a-3", 1, "a", 1)), overlay.alive());
   }
 
   @Test
   void zoneLeaderHasTheLargestCapacityThenTheLowestName() {
-    assertEquals(self, overlay.speaker(0));
+    assertEquals(self, overlay.zoneLeader(0));
     FleetMember small = member("a-0", 1, "a", 10);
     FleetMember equal = member("a-1", 1, "a", 20);
     FleetMember elsewhere = member("b-1", 1, "b", 200);
-    overlay.learn(List.of(small, elsewhere), 0);
-    assertEquals(self, overlay.speaker(0));
-    overlay.learn(List.of(equal), 0);
-    assertEquals(equal, overlay.speaker(0));
+    overlay.addMembers(List.of(small, elsewhere), 0);
+    assertEquals(self, overlay.zoneLeader(0));
+    overlay.addMembers(List.of(equal), 0);
+    assertEquals(equal, overlay.zoneLeader(0));
   }
 
   @Test
   void silentZoneLeaderIsReplacedForAWhile() {
     FleetMember best = member("a-1", 1, "a", 200);
-    overlay.learn(List.of(best), 0);
-    assertEquals(best, overlay.speaker(0));
-    overlay.heardDirectly(best, false, 1_000);
-    assertEquals(best, overlay.speaker(2_200));
-    assertEquals(self, overlay.speaker(2_201));
-    overlay.take(complete(best, 1), 6_000);
-    assertEquals(self, overlay.speaker(7_200));
-    assertEquals(best, overlay.speaker(7_201));
+    overlay.addMembers(List.of(best), 0);
+    assertEquals(best, overlay.zoneLeader(0));
+    overlay.receivedFrom(best, false, 1_000);
+    assertEquals(best, overlay.zoneLeader(2_200));
+    assertEquals(self, overlay.zoneLeader(2_201));
+    overlay.accept(complete(best, 1), 6_000);
+    assertEquals(self, overlay.zoneLeader(7_200));
+    assertEquals(best, overlay.zoneLeader(7_201));
   }
 
   @Test
   void reportIsAcceptedOnce() {
     FleetMember other = member("a-3", 1, "a", 1);
-    assertFalse(overlay.take(partial(other, 1), 0));
-    assertTrue(overlay.take(complete(other, 2), 0));
-    assertFalse(overlay.take(complete(other, 2), 0));
-    assertTrue(overlay.take(partial(other, 3), 0));
-    assertFalse(overlay.take(partial(other, 2), 0));
-    assertTrue(overlay.take(complete(member("a-3", 2, "a", 1), 1), 0));
+    assertFalse(overlay.accept(partial(other, 1), 0));
+    assertTrue(overlay.accept(complete(other, 2), 0));
+    assertFalse(overlay.accept(complete(other, 2), 0));
+    assertTrue(overlay.accept(partial(other, 3), 0));
+    assertFalse(overlay.accept(partial(other, 2), 0));
+    assertTrue(overlay.accept(complete(member("a-3", 2, "a", 1), 1), 0));
   }
 
   @Test
   void duplicateReportIsNoSignOfLife() {
     FleetMember other = member("a-3", 1, "a", 1);
-    overlay.take(complete(other, 2), 0);
-    overlay.take(complete(other, 2), 3_000);
-    overlay.forget(3_501);
+    overlay.accept(complete(other, 2), 0);
+    overlay.accept(complete(other, 2), 3_000);
+    overlay.expire(3_501);
     assertEquals(List.of(), overlay.alive());
   }
 
@@ -183,10 +183,10 @@
   void subscriberSendsOnlyToItsZoneLeader() {
     FleetMember best = member("a-1", 1, "a", 200);
     FleetMember elsewhere = member("b-1", 1, "b", 200);
-    overlay.learn(List.of(best, elsewhere, member("a-3", 1, "a", 1)), 0);
-    assertFalse(overlay.passesOn(0));
-    assertEquals(List.of(best), overlay.near(0));
-    assertEquals(List.of(), overlay.far(0));
+    overlay.addMembers(List.of(best, elsewhere, member("a-3", 1, "a", 1)), 0);
+    assertFalse(overlay.forwards(0));
+    assertEquals(List.of(best), overlay.sameZoneLinks(0));
+    assertEquals(List.of(), overlay.otherZoneLinks(0));
   }
 
   @Test
@@ -194,16 +194,16 @@
     FleetMember subscriber = member("a-3", 1, "a", 1);
     FleetMember best = member("b-1", 1, "b", 200);
     FleetMember other = member("b-2", 1, "b", 20);
-    overlay.learn(List.of(best, other, member("a-4", 1, "a", 1)), 0);
-    overlay.heardDirectly(subscriber, true, 0);
-    assertTrue(overlay.passesOn(0));
-    assertEquals(List.of(subscriber), overlay.near(0));
-    assertEquals(List.of(best), overlay.far(0));
-    overlay.heardDirectly(other, true, 0);
-    assertEquals(List.of(other, best), overlay.far(0));
-    assertTrue(overlay.knowsBetter(other, 0));
-    assertFalse(overlay.knowsBetter(best, 0));
-    overlay.heardDirectly(other, false, 4_000);
-    assertFalse(overlay.far(4_000).contains(other));
+    overlay.addMembers(List.of(best, other, member("a-4", 1, "a", 1)), 0);
+    overlay.receivedFrom(subscriber, true, 0);
+    assertTrue(overlay.forwards(0));
+    assertEquals(List.of(subscriber), overlay.sameZoneLinks(0));
+    assertEquals(List.of(best), overlay.otherZoneLinks(0));
+    overlay.receivedFrom(other, true, 0);
+    assertEquals(List.of(other, best), overlay.otherZoneLinks(0));
+    assertTrue(overlay.hasCloserLeader(other, 0));
+    assertFalse(overlay.hasCloserLeader(best, 0));
+    overlay.receivedFrom(other, false, 4_000);
+    assertFalse(overlay.otherZoneLinks(4_000).contains(other));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetSpreadTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetSpreadTest.java
@@ -54,24 +54,24 @@
     public void gone(FleetMember other, long silentMs) {}
 
     void step(boolean heartbeat, FleetMember seed) {
-      overlay.forget(nowMs);
-      FleetMember leader = overlay.speaker(nowMs);
+      overlay.expire(nowMs);
+      FleetMember leader = overlay.zoneLeader(nowMs);
       if (heartbeat) {
-        List<FleetMember> to = new ArrayList<>(overlay.far(nowMs));
+        List<FleetMember> to = new ArrayList<>(overlay.otherZoneLinks(nowMs));
         to.add(leader.equals(member) ? seed : leader);
         FleetReport all =
             new FleetReport(
                 member.identity(),
                 Optional.of(member),
                 ++sequence,
-                FleetReport.EVERYWHERE,
+                FleetReport.ALL_ZONES,
                 true,
                 List.of());
         to.forEach(one -> send(this, one, true, List.of(all)));
-        if (overlay.passesOn(nowMs)) {
+        if (overlay.forwards(nowMs)) {
           forward(List.of(all));
         }
-      } else if (overlay.passesOn(nowMs)) {
+      } else if (overlay.forwards(nowMs)) {
         forward(List.of());
       }
     }
@@ -82,29 +82,29 @@
               member.identity(),
               Optional.empty(),
               ++sequence,
-              FleetReport.EVERYWHERE,
+              FleetReport.ALL_ZONES,
               false,
               List.of());
       forward(List.of(report));
     }
 
     void forward(List<FleetReport> reports) {
-      List<FleetMember> to = new ArrayList<>(overlay.near(nowMs));
-      to.addAll(overlay.far(nowMs));
+      List<FleetMember> to = new ArrayList<>(overlay.sameZoneLinks(nowMs));
+      to.addAll(overlay.otherZoneLinks(nowMs));
       to.forEach(one -> send(this, one, false, reports));
     }
 
     void receive(FleetMember from, boolean subscribes, List<FleetReport> reports) {
       boolean first = !overlay.alive().contains(from);
-      overlay.heardDirectly(from, subscribes, nowMs);
+      overlay.receivedFrom(from, subscribes, nowMs);
       List<FleetReport> newReports =
-          reports.stream().filter(one -> overlay.take(one, nowMs)).toList();
+          reports.stream().filter(one -> overlay.accept(one, nowMs)).toList();
       newReports.forEach(one -> accepted.add(one.from().host() + " " + one.sequence()));
-      if (!newReports.isEmpty() && overlay.passesOn(nowMs)) {
+      if (!newReports.isEmpty() && overlay.forwards(nowMs)) {
         forward(newReports);
       }
-      if (subscribes && (first || overlay.knowsBetter(from, nowMs)) && reachable(this, from)) {
-        nodes.get(from.identity().host()).overlay.learn(overlay.alive(), nowMs);
+      if (subscribes && (first || overlay.hasCloserLeader(from, nowMs)) && reachable(this, from)) {
+        nodes.get(from.identity().host()).overlay.addMembers(overlay.alive(), nowMs);
       }
     }
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/membership/ZoneMembershipTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/membership/ZoneMembershipTest.java
@@ -58,7 +58,7 @@
       for (int i = 0; i < HOSTS; i++) {
         listed.add(new EntryHost("h" + i, "z", address(i)));
       }
-      member.listed(listed);
+      member.setEntryHosts(listed);
       return member;
     }
 
@@ -68,8 +68,8 @@
         if (dead[from]) {
           continue;
         }
-        members.get(from).suspects(nowMs);
-        for (HostAddress to : members.get(from).dueNow(nowMs)) {
+        members.get(from).updateSuspects(nowMs);
+        for (HostAddress to : members.get(from).dueHeartbeats(nowMs)) {
           deliver(from, to.port() - 100);
         }
       }
@@ -79,7 +79,7 @@
       if (dead[to] || brokenLinks.contains(from + ">" + to)) {
         return;
       }
-      members.get(to).heard(facts(identities.get(from), from, ++sequences[from]), nowMs);
+      members.get(to).receive(facts(identities.get(from), from, ++sequences[from]), nowMs);
     }
 
     void disturb() {
@@ -131,8 +131,8 @@
   @Test
   void earlierIncarnationIsDropped() {
     ZoneMembership member = new Zone(1).newMember(0);
-    member.heard(facts(new HostIdentity("h1", 5), 1, 1), 10);
-    member.heard(facts(new HostIdentity("h1", 4), 1, 99), 20);
+    member.receive(facts(new HostIdentity("h1", 5), 1, 1), 10);
+    member.receive(facts(new HostIdentity("h1", 4), 1, 99), 20);
     assertEquals(5, member.livingInZone().get(0).identity().incarnation());
   }
 
@@ -143,7 +143,7 @@
       zone.round();
     }
     Map<HostIdentity, Integer> leaders = new HashMap<>();
-    zone.members.forEach(member -> leaders.merge(member.speaker(), 1, Integer::sum));
+    zone.members.forEach(member -> leaders.merge(member.zoneLeader(), 1, Integer::sum));
     assertEquals(Map.of(zone.identities.get(0), HOSTS), leaders);
   }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/once/OnceHistory.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/once/OnceHistory.java
@@ -64,9 +64,9 @@
       while (replayed < log.size()) {
         Logged one = log.get(replayed++);
         if (one.retired()) {
-          claims.roster().retired(one.identity());
+          claims.members().retire(one.identity());
         } else {
-          claims.roster().registered(one.identity(), NOWHERE, nowMs);
+          claims.members().register(one.identity(), NOWHERE, nowMs);
         }
       }
     }
@@ -83,7 +83,7 @@
           unknown++;
         } else if (action instanceof ClaimAction.ReadLogToEnd replay) {
           readLog(replay.requestId());
-        } else if (action instanceof ClaimAction.Ask ask) {
+        } else if (action instanceof ClaimAction.QueryHost ask) {
           ask(ask);
         }
       }
@@ -95,12 +95,12 @@
             this,
             () -> {
               replay();
-              carryOut(claims.logRead(requestId, nowMs));
+              carryOut(claims.logReplayed(requestId, nowMs));
             });
       }
     }
 
-    private void ask(ClaimAction.Ask ask) {
+    private void ask(ClaimAction.QueryHost ask) {
       Host other = living(ask.identity());
       if (other == null || cut(identity.host(), other.identity.host())) {
         return;
@@ -108,15 +108,17 @@
       later(
           other,
           () -> {
-            ClaimAnswer answer = other.claims.asked(ask.key(), nowMs);
-            later(this, () -> carryOut(claims.answered(other.identity, ask.key(), answer, nowMs)));
+            ClaimAnswer answer = other.claims.answerClaim(ask.key(), nowMs);
+            later(
+                this,
+                () -> carryOut(claims.receiveAnswer(other.identity, ask.key(), answer, nowMs)));
           });
     }
 
     private void runAtService(ClaimKey key) {
       int chance = random.nextInt(10);
       if (chance < 2) {
-        later(this, () -> claims.settled(key, Ran.NO, nowMs));
+        later(this, () -> claims.recordOutcome(key, Ran.NO, nowMs));
         return;
       }
       // The call may be in flight while its sender dies: it runs anyway.
@@ -132,7 +134,7 @@
 
     private void recordOutcome(ClaimKey key, Ran outcome) {
       answered += outcome == Ran.YES ? 1 : 0;
-      claims.settled(key, outcome, nowMs);
+      claims.recordOutcome(key, outcome, nowMs);
     }
   }
 
@@ -221,7 +223,7 @@
     if (successors.isEmpty()) {
       return;
     }
-    List<OnceLedger.Inherited> handed = host.claims.ledger().handover();
+    List<CallRegistry.HandedOverKey> handed = host.claims.registry().handover();
     successors.forEach(successor -> successor.claims.inherit(handed));
     log.add(new Logged(host.identity, true));
     host.alive = false;
--- a/org.fawndrum/tst/org/fawndrum/coordination/once/OnceTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/once/OnceTest.java
@@ -32,8 +32,8 @@
 
   private static ClaimCoordinator registered() {
     ClaimCoordinator claims = new ClaimCoordinator(SELF);
-    claims.roster().registered(SELF, ADDRESS, 0);
-    claims.roster().registered(OTHER, ADDRESS, 0);
+    claims.members().register(SELF, ADDRESS, 0);
+    claims.members().register(OTHER, ADDRESS, 0);
     return claims;
   }
 
@@ -47,8 +47,8 @@
   void failedClaimMustBeRepeatedBeforeTheCallRuns() {
     ClaimCoordinator claims = registered();
     claims.arrive("r1", KEY, Sending.REPEAT, 1);
-    claims.logRead("r1", 2);
-    claims.answered(OTHER, KEY, ClaimAnswer.HELD, 3);
+    claims.logReplayed("r1", 2);
+    claims.receiveAnswer(OTHER, KEY, ClaimAnswer.HELD, 3);
     List<ClaimAction> actions = claims.arrive("r2", KEY, Sending.REPEAT, 4);
     assertEquals(List.of(new ClaimAction.ReadLogToEnd("r2")), actions);
   }
@@ -56,9 +56,9 @@
   @Test
   void lostHostMakesProofImpossibleUntilKeysExpire() {
     ClaimCoordinator claims = registered();
-    claims.roster().lost(OTHER, 10);
-    assertTrue(claims.roster().isProofImpossible(11));
-    assertTrue(!claims.roster().isProofImpossible(11 + OnceLedger.RETENTION_MS));
+    claims.members().markLost(OTHER, 10);
+    assertTrue(claims.members().isProofImpossible(11));
+    assertTrue(!claims.members().isProofImpossible(11 + CallRegistry.RETENTION_MS));
   }
 
   @Test
--- a/org.fawndrum/tst/org/fawndrum/protocol/CrashCodecTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/CrashCodecTest.java
@@ -5,13 +5,13 @@
 
 import java.util.List;
 import java.util.Set;
-import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.crash.AnsweredRequest;
+import org.fawndrum.coordination.crash.CrashUpdate;
 import org.fawndrum.coordination.crash.EndpointCrash;
-import org.fawndrum.coordination.crash.RefusedRequest;
+import org.fawndrum.coordination.crash.ExecutionLease;
+import org.fawndrum.coordination.crash.InconclusiveRuns;
+import org.fawndrum.coordination.crash.RejectedRequest;
 import org.fawndrum.coordination.crash.RequestFingerprint;
-import org.fawndrum.coordination.crash.ServedRequest;
-import org.fawndrum.coordination.crash.SpentTurn;
-import org.fawndrum.coordination.crash.SuspectTurn;
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
@@ -23,15 +23,15 @@
 
   @Test
   void updatesRoundTripUnchanged() {
-    CrashNews updates =
-        new CrashNews(
+    CrashUpdate updates =
+        new CrashUpdate(
             List.of(
                 new EndpointCrash(
                     new HostIdentity("e-1", 1_000), NOW_MS - 700, NOW_MS - 400, Set.of(REQUEST))),
-            List.of(new ServedRequest(REQUEST, NOW_MS - 30)),
-            List.of(new RefusedRequest(REQUEST, NOW_MS - 20, List.of("e-1#1000"))),
-            List.of(new SuspectTurn(REQUEST, HOST, NOW_MS - 10)),
-            List.of(new SpentTurn(REQUEST, HOST, 2, NOW_MS - 5)),
+            List.of(new AnsweredRequest(REQUEST, NOW_MS - 30)),
+            List.of(new RejectedRequest(REQUEST, NOW_MS - 20, List.of("e-1#1000"))),
+            List.of(new ExecutionLease(REQUEST, HOST, NOW_MS - 10)),
+            List.of(new InconclusiveRuns(REQUEST, HOST, 2, NOW_MS - 5)),
             1);
     assertEquals(updates, CrashCodec.read(CrashCodec.write(updates, false, NOW_MS), NOW_MS));
   }
--- a/org.fawndrum/tst/org/fawndrum/protocol/FleetCodecTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/FleetCodecTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Optional;
 import org.fawndrum.coordination.engine.EngineJob;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetMember;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 import org.junit.jupiter.api.Test;
 
 /** Reports round-trip through their messages, with times converted to the receiver's clock. */
@@ -24,7 +24,7 @@
 
   private static EngineJob job(long sentMs) {
     HostIdentity engine = new HostIdentity("engine-1", 0);
-    return new EngineJob(5, engine, 9_000, 9_100, 2, true, new RequestAims(300, 250, 0), sentMs);
+    return new EngineJob(5, engine, 9_000, 9_100, 2, true, new LatencyTargets(300, 250, 0), sentMs);
   }
 
   @Test
@@ -34,13 +34,15 @@
             SELF,
             Optional.of(MEMBER),
             3,
-            FleetReport.EVERYWHERE,
+            FleetReport.ALL_ZONES,
             true,
-            List.of(new EngineNews.Placed(job(40)), new EngineNews.Read(5)));
+            List.of(new EngineUpdate.Placed(job(40)), new EngineUpdate.Prefilled(5)));
     FleetReport decoded = FleetCodec.read(FleetCodec.write(report, 100), 1_000);
     assertEquals(Optional.of(MEMBER), decoded.member());
     assertEquals(3, decoded.sequence());
-    assertEquals(List.of(new EngineNews.Placed(job(940)), new EngineNews.Read(5)), decoded.news());
+    assertEquals(
+        List.of(new EngineUpdate.Placed(job(940)), new EngineUpdate.Prefilled(5)),
+        decoded.updates());
     assertTrue(decoded.concerns("zone-b"));
   }
 
@@ -53,7 +55,7 @@
             4,
             "zone-b",
             false,
-            List.of(new EngineNews.Ended(5, false), new EngineNews.Ended(6, true)));
+            List.of(new EngineUpdate.Completed(5, false), new EngineUpdate.Completed(6, true)));
     FleetReport decoded = FleetCodec.read(FleetCodec.write(report, 0), 0);
     assertEquals(report, decoded);
     assertTrue(decoded.concerns("zone-b"));
--- a/org.fawndrum/tst/org/fawndrum/protocol/PeerCodecTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/PeerCodecTest.java
@@ -20,8 +20,8 @@
 import org.fawndrum.state.Column;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
-import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
+import org.fawndrum.state.TableRevisionBuilder;
 import org.junit.jupiter.api.Test;
 
 /** For any input, the decoders return a message or throw a typed exception. */
@@ -50,7 +50,7 @@
   void corruptedMessageYieldsAMessageOrATypedException(@ForAll long seed) {
     Random random = new Random(seed);
     byte[] bytes =
-        PeerCodec.from(SELF).setHeartbeat(PeerCodec.heartbeat(facts())).build().toByteArray();
+        PeerCodec.newMessage(SELF).setHeartbeat(PeerCodec.heartbeat(facts())).build().toByteArray();
     bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
     try {
       PeerMessage message = PeerCodec.read(bytes);
@@ -64,7 +64,7 @@
   void corruptedSnapshotNeverYieldsAnotherTable(@ForAll long seed) {
     Random random = new Random(seed);
     CellKey key = new CellKey(new CallerGroup("w", "c"), Column.SHARE);
-    TableRevision table = new TableParts(3, 9).cell(key, new Cell("5", 3, "ana")).build();
+    TableRevision table = new TableRevisionBuilder(3, 9).cell(key, new Cell("5", 3, "ana")).build();
     byte[] bytes = SnapshotCodec.encode(table).toByteArray();
     int index = random.nextInt(bytes.length);
     bytes[index] ^= (byte) (1 + random.nextInt(255));
@@ -78,7 +78,7 @@
   @Test
   void heartbeatRoundTrips() {
     byte[] bytes =
-        PeerCodec.from(SELF).setHeartbeat(PeerCodec.heartbeat(facts())).build().toByteArray();
+        PeerCodec.newMessage(SELF).setHeartbeat(PeerCodec.heartbeat(facts())).build().toByteArray();
     PeerMessage read = PeerCodec.read(bytes);
     assertEquals(facts(), PeerCodec.facts(PeerCodec.sender(read), read.getHeartbeat()));
   }
--- a/org.fawndrum/tst/org/fawndrum/protocol/TableCsvTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/TableCsvTest.java
@@ -15,15 +15,15 @@
 import org.fawndrum.state.CellChange;
 import org.fawndrum.state.CellKey;
 import org.fawndrum.state.Column;
-import org.fawndrum.state.TableParts;
 import org.fawndrum.state.TableRevision;
+import org.fawndrum.state.TableRevisionBuilder;
 import org.junit.jupiter.api.Test;
 
 /** Export and re-import yield no changes, and errors name line and column. */
 class TableCsvTest {
   private static TableRevision randomTable(long seed) {
     Random random = new Random(seed);
-    TableParts parts = new TableParts(5, 9);
+    TableRevisionBuilder parts = new TableRevisionBuilder(5, 9);
     for (int i = 0; i < random.nextInt(12); i++) {
       CallerGroup group = new CallerGroup("w" + random.nextInt(4), "c" + random.nextInt(3));
       Column column = Column.values()[random.nextInt(Column.values().length)];
@@ -57,7 +57,7 @@
   @Test
   void emptyCellClearsAPublishedValue() {
     CellKey key = new CellKey(new CallerGroup("w", "c"), Column.SHARE);
-    TableRevision table = new TableParts(1, 1).cell(key, new Cell("4", 1, "ana")).build();
+    TableRevision table = new TableRevisionBuilder(1, 1).cell(key, new Cell("4", 1, "ana")).build();
     assertEquals(
         List.of(new CellChange(key, null)), TableCsv.changes("group,share\nw/c,\n", table));
   }
--- a/org.fawndrum/tst/org/fawndrum/settings/SettingsReaderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/settings/SettingsReaderTest.java
@@ -34,7 +34,7 @@
   private HostSettings read(String text) throws IOException {
     Path file = folder.resolve("settings.json");
     Files.writeString(file, text);
-    return new ReadSettings(file).call();
+    return new SettingsReader(file).read();
   }
 
   private List<SettingsFault> faults(String text) {
--- a/org.fawndrum/tst/org/fawndrum/state/RouteTableTest.java
+++ b/org.fawndrum/tst/org/fawndrum/state/RouteTableTest.java
@@ -20,7 +20,7 @@
         kind,
         false,
         1_000,
-        RequestAims.NONE,
+        LatencyTargets.NONE,
         1,
         false,
         List.of(new WeightedService("one", 3), new WeightedService("two", 1)));
--- a/org.fawndrum/tst/org/fawndrum/state/TableReplayTest.java
+++ b/org.fawndrum/tst/org/fawndrum/state/TableReplayTest.java
@@ -78,11 +78,11 @@
     int first = 0;
     for (int step = 0; step < 80; step++) {
       int chance = random.nextInt(10);
-      if (chance < 6 && lateReplay.next() < log.size() && lateReplay.next() >= first) {
-        lateReplay.record(log.get((int) lateReplay.next()));
+      if (chance < 6 && lateReplay.nextOffset() < log.size() && lateReplay.nextOffset() >= first) {
+        lateReplay.record(log.get((int) lateReplay.nextOffset()));
       } else if (chance < 8) {
         first = Math.max(first, random.nextInt(log.size()));
-        lateReplay.logBegins(first);
+        lateReplay.logStartsAt(first);
       } else {
         lateReplay.adopt(tablesByPosition.get(random.nextInt(log.size())));
       }
@@ -98,13 +98,13 @@
   @Test
   void secondOfTwoConflictingPublicationsLosesAndNamesTheWinner() {
     TableRevision start =
-        new ReplayPublication(
+        new PublicationReplay(
                 TableRevision.EMPTY, 0, publication("a", -1, change(Column.SHARE, "1")))
-            .call();
+            .apply();
     TableRevision first =
-        new ReplayPublication(start, 1, publication("b", 0, change(Column.SHARE, "2"))).call();
+        new PublicationReplay(start, 1, publication("b", 0, change(Column.SHARE, "2"))).apply();
     Publication loser = new Publication("c", "eva", 0, List.of(change(Column.SHARE, "3")));
-    TableRevision second = new ReplayPublication(first, 2, loser).call();
+    TableRevision second = new PublicationReplay(first, 2, loser).apply();
     PublicationOutcome.Lost lost =
         assertInstanceOf(PublicationOutcome.Lost.class, second.outcome("c").orElseThrow());
     assertEquals("ana", lost.conflicts().get(0).current().operator());
@@ -115,11 +115,12 @@
   @Test
   void concurrentPublicationsOfDifferentCellsAreBothAccepted() {
     TableRevision first =
-        new ReplayPublication(
+        new PublicationReplay(
                 TableRevision.EMPTY, 0, publication("a", -1, change(Column.SHARE, "2")))
-            .call();
+            .apply();
     TableRevision second =
-        new ReplayPublication(first, 1, publication("b", -1, change(Column.IN_FLIGHT, "3"))).call();
+        new PublicationReplay(first, 1, publication("b", -1, change(Column.IN_FLIGHT, "3")))
+            .apply();
     assertEquals(1, second.revision());
     assertEquals("2", second.row(GROUP).orElseThrow().text(Column.SHARE));
   }
@@ -127,8 +128,8 @@
   @Test
   void duplicatePublicationHasNoEffect() {
     Publication once = publication("a", -1, change(Column.SHARE, "2"));
-    TableRevision first = new ReplayPublication(TableRevision.EMPTY, 0, once).call();
-    TableRevision second = new ReplayPublication(first, 1, once).call();
+    TableRevision first = new PublicationReplay(TableRevision.EMPTY, 0, once).apply();
+    TableRevision second = new PublicationReplay(first, 1, once).apply();
     assertEquals(0, second.revision());
     assertInstanceOf(PublicationOutcome.Accepted.class, second.outcome("a").orElseThrow());
   }
@@ -136,13 +137,13 @@
   @Test
   void clearedCellConflictsWithAnEditOfAnOlderRevision() {
     TableRevision set =
-        new ReplayPublication(
+        new PublicationReplay(
                 TableRevision.EMPTY, 0, publication("a", -1, change(Column.SHARE, "2")))
-            .call();
+            .apply();
     TableRevision cleared =
-        new ReplayPublication(set, 1, publication("b", 0, change(Column.SHARE, null))).call();
+        new PublicationReplay(set, 1, publication("b", 0, change(Column.SHARE, null))).apply();
     TableRevision lateReplay =
-        new ReplayPublication(cleared, 2, publication("c", 0, change(Column.SHARE, "9"))).call();
+        new PublicationReplay(cleared, 2, publication("c", 0, change(Column.SHARE, "9"))).apply();
     assertInstanceOf(PublicationOutcome.Lost.class, lateReplay.outcome("c").orElseThrow());
   }
 
--- a/org.fawndrum/tst/org/fawndrum/transport/peer/NettyPeerNetworkTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/peer/NettyPeerNetworkTest.java
@@ -33,7 +33,7 @@
       network(
           (message, reply) ->
               reply.accept(
-                  PeerCodec.from(TWO)
+                  PeerCodec.newMessage(TWO)
                       .setClaimReply(ClaimReply.newBuilder().setAnswer(ClaimReply.Answer.RAN))));
 
   private static NettyPeerNetwork network(PeerNetwork.Receiver receiver) {
@@ -50,13 +50,13 @@
   }
 
   private static PeerMessage.Builder claimRequest() {
-    return PeerCodec.from(ONE).setClaimRequest(ClaimRequest.newBuilder().setKey("w/c|k"));
+    return PeerCodec.newMessage(ONE).setClaimRequest(ClaimRequest.newBuilder().setKey("w/c|k"));
   }
 
   @Test
   void replyIsMatchedToItsRequest() {
     HostAddress address = new HostAddress("127.0.0.1", two.port());
-    PeerMessage reply = one.ask(address, claimRequest()).join();
+    PeerMessage reply = one.request(address, claimRequest()).join();
     assertEquals(ClaimReply.Answer.RAN, reply.getClaimReply().getAnswer());
     assertEquals(TWO, PeerCodec.sender(reply));
   }
@@ -65,7 +65,8 @@
   void unreachablePeerFailsWithTypedException() {
     HostAddress closedPort = new HostAddress("127.0.0.1", 1);
     CompletionException failure =
-        assertThrows(CompletionException.class, () -> one.ask(closedPort, claimRequest()).join());
+        assertThrows(
+            CompletionException.class, () -> one.request(closedPort, claimRequest()).join());
     assertInstanceOf(PeerUnreachableException.class, failure.getCause());
   }
 
@@ -77,8 +78,8 @@
       socket.getOutputStream().flush();
       assertEquals(-1, socket.getInputStream().read());
     }
-    assertEquals(2, two.dropped());
+    assertEquals(2, two.droppedMessages());
     HostAddress address = new HostAddress("127.0.0.1", two.port());
-    assertEquals(TWO, PeerCodec.sender(one.ask(address, claimRequest()).join()));
+    assertEquals(TWO, PeerCodec.sender(one.request(address, claimRequest()).join()));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointReaderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointReaderTest.java
@@ -81,7 +81,7 @@
     reader.applySnapshot(page("b", READY, "a", READY), 0);
     reader.applyChanges(page("c", LEAVING), 0);
     assertEquals(List.of("a", "b", "c"), names());
-    assertEquals(Set.of(new HostIdentity("c", 0)), listing.leaving());
+    assertEquals(Set.of(new HostIdentity("c", 0)), listing.drainingEndpoints());
   }
 
   @Test
@@ -128,7 +128,7 @@
     reader.applySnapshot(page("a", READY, "b", READY), 0);
     reader.applyChanges(page("a", new byte[] {'x'}, "c", READY), 0);
     assertEquals(List.of("b", "c"), names());
-    assertTrue(listing.leaving().isEmpty());
+    assertTrue(listing.drainingEndpoints().isEmpty());
     assertEquals(1, reader.unusableCount());
     reader.applyChanges(page("a", READY), 0);
     assertEquals(List.of("a", "b", "c"), names());
@@ -229,7 +229,7 @@
     applySnapshotIn(1, "a", written('r', 5));
     reader.applyChanges(inEpoch(1, page("a", written('l', 6))), nowMs);
     applySnapshotIn(2, "a", written('r', 5));
-    assertEquals(Set.of(new HostIdentity("a", 0)), listing.leaving());
+    assertEquals(Set.of(new HostIdentity("a", 0)), listing.drainingEndpoints());
     // Hosts that query this one receive the same.
     assertEquals('l', reader.records().get(0).value()[0]);
   }
@@ -300,7 +300,7 @@
     KeyedRecord late = new KeyedRecord(90, "a", EMPTY);
     reader.applyChanges(new KeyedPage(List.of(late), 91, 1), nowMs);
     assertEquals(List.of("a", "b"), names());
-    assertEquals(2, reader.knownEnd().era());
+    assertEquals(2, reader.knownEnd().epoch());
   }
 
   @Test
@@ -356,7 +356,7 @@
     List<KeyedRecord> changes = reader.changesSince(known).orElseThrow();
     peer.applyChanges(new KeyedPage(changes, reader.knownEnd().offset()), 0);
     assertEquals(List.of("a", "c"), names());
-    assertEquals(Set.of(new HostIdentity("a", 0)), listing.leaving());
+    assertEquals(Set.of(new HostIdentity("a", 0)), listing.drainingEndpoints());
   }
 
   @Test
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/IncarnationGuardTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/IncarnationGuardTest.java
@@ -25,9 +25,9 @@
   private final IncarnationGuard guard = new IncarnationGuard(new Engine(), restarts::add);
 
   /** An engine that accepts all requests and reports its incarnation. */
-  private final class Engine implements EngineOrders {
+  private final class Engine implements EngineControl {
     @Override
-    public void hearNotices(EndpointNotices listener) {}
+    public void setNoticeListener(EndpointNoticeListener listener) {}
 
     @Override
     public Future<Boolean> reserve(Endpoint engine, String ticket, long tokens, long holdMs) {
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/MemoryUseTrackerTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/MemoryUseTrackerTest.java
@@ -54,7 +54,7 @@
 
   @Test
   void reportWithoutDetailsIsNoEvidence() {
-    assertTrue(mayBeInUse(IDLE, EngineReport.NOTHING));
-    assertTrue(mayBeInUse(EngineReport.NOTHING, UNUSED));
+    assertTrue(mayBeInUse(IDLE, EngineReport.EMPTY));
+    assertTrue(mayBeInUse(EngineReport.EMPTY, UNUSED));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/NoOpEndpointEventPublisher.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/NoOpEndpointEventPublisher.java
@@ -2,19 +2,19 @@
 package org.fawndrum.transport.relay;
 
 import java.util.List;
-import org.fawndrum.coordination.crash.CrashNews;
+import org.fawndrum.coordination.crash.CrashUpdate;
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 
 /** For hosts without peers in tests. */
 final class NoOpEndpointEventPublisher implements EndpointEventPublisher {
   @Override
-  public void publishCrashes(CrashNews crashes) {
+  public void publishCrashes(CrashUpdate crashes) {
     // There are no peers.
   }
 
   @Override
-  public void sendAllCrashes(HostAddress to, CrashNews all) {
+  public void sendAllCrashes(HostAddress to, CrashUpdate all) {
     // There are no peers.
   }
 
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/PromptMemoryTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/PromptMemoryTest.java
@@ -55,7 +55,7 @@
   }
 
   /** Engines whose answers the test provides. */
-  private static final class ManualEngineControl implements EngineOrders {
+  private static final class ManualEngineControl implements EngineControl {
     final Deque<Promise<Boolean>> pendingReserves = new ArrayDeque<>();
     final List<String> reservedEngines = new ArrayList<>();
     final List<String> released = new ArrayList<>();
@@ -66,7 +66,7 @@
     int releasesToFail;
 
     @Override
-    public void hearNotices(EndpointNotices listener) {}
+    public void setNoticeListener(EndpointNoticeListener listener) {}
 
     @Override
     public Future<Boolean> reserve(Endpoint engine, String ticket, long tokens, long holdMs) {
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDrainTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDrainTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.fawndrum.coordination.AwakeTimes;
+import org.fawndrum.coordination.PauseDetector;
 import org.fawndrum.coordination.Policies;
 import org.fawndrum.coordination.Refusal;
 import org.fawndrum.coordination.RequestCoordinator;
@@ -80,7 +80,7 @@
   private final CompletableFuture<RelayServer.IncomingRequest> accepted = new CompletableFuture<>();
   private final RelayBounds bounds =
       new RelayBounds(false, 5_000, 2_000, 8_000, 0.2, 100, 10_000, 120);
-  private final AwakeTimes awake = new AwakeTimes(AWAKE_POLL_MS);
+  private final PauseDetector awake = new PauseDetector(AWAKE_POLL_MS);
   private volatile long nowMs = STARTED_MS;
   private HostAddress address;
   private RelayDuty decisions;
@@ -90,7 +90,7 @@
   /** Permits no retries. */
   private static final class NoRetries implements RetryBudget {
     @Override
-    public void firstSend(RequestTarget target, long atMs) {}
+    public void recordFirstSend(RequestTarget target, long atMs) {}
 
     @Override
     public boolean tryRetry(RequestTarget target, long atMs) {
@@ -101,22 +101,22 @@
   /** Ignores the headers; all requests look alike. */
   private static final class FixedCodec implements RelayCodec {
     @Override
-    public RelayRequest read(MultiMap headers) {
+    public RelayRequest readRequest(MultiMap headers) {
       return new RelayRequest("r-1", Optional.empty(), 0, 0, 0, List.of(), 0);
     }
 
     @Override
-    public MultiMap forEndpoint(MultiMap fromCaller, Sending sending) {
+    public MultiMap endpointHeaders(MultiMap fromCaller, Sending sending) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public Answer answer(int status, MultiMap headers, String requestId) {
+    public Answer classifyAnswer(int status, MultiMap headers, String requestId) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public EndpointNotice notice(int status, MultiMap headers) {
+    public EndpointNotice readNotice(int status, MultiMap headers) {
       throw new UnsupportedOperationException();
     }
 
@@ -126,12 +126,12 @@
     }
 
     @Override
-    public MultiMap forCaller(MultiMap fromEndpoint) {
+    public MultiMap callerHeaders(MultiMap fromEndpoint) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public MultiMap ofRefusal(String requestId, Refusal refusal) {
+    public MultiMap refusalHeaders(String requestId, Refusal refusal) {
       throw new UnsupportedOperationException();
     }
   }
@@ -251,7 +251,7 @@
     await(callers.listen());
     sendRequest();
     await(accepted);
-    awake.looked(nowMs);
+    awake.recordTick(nowMs);
     nowMs += SUSPENDED_MS;
     CompletableFuture<Void> done = drain.start();
     atMs(GONE_MS);
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDutyTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDutyTest.java
@@ -18,7 +18,7 @@
 import org.fawndrum.coordination.RequestFacts;
 import org.fawndrum.coordination.RequestTarget;
 import org.fawndrum.coordination.engine.EngineJob;
-import org.fawndrum.coordination.engine.EngineNews;
+import org.fawndrum.coordination.engine.EngineUpdate;
 import org.fawndrum.coordination.membership.FleetReport;
 import org.fawndrum.internal.log.HostLog;
 import org.fawndrum.state.CallerGroup;
@@ -29,7 +29,7 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 import org.fawndrum.state.HostListing;
-import org.fawndrum.state.RequestAims;
+import org.fawndrum.state.LatencyTargets;
 import org.fawndrum.state.Route;
 import org.fawndrum.state.Route.WeightedService;
 import org.fawndrum.state.RouteKind;
@@ -43,7 +43,7 @@
 class RelayDutyTest {
   private static final long TIMEOUT_S = 20;
   private static final HostIdentity SELF = new HostIdentity("host-1", 1);
-  private static final RequestAims TARGETS = new RequestAims(2_500, 1_000, 2);
+  private static final LatencyTargets TARGETS = new LatencyTargets(2_500, 1_000, 2);
 
   private final BlockingQueue<String> actions = new LinkedBlockingQueue<>();
   private final RelayDuty duty =
@@ -77,12 +77,12 @@
     }
 
     @Override
-    public void onLoop(Runnable step) {
+    public void runOnLoop(Runnable step) {
       step.run();
     }
 
     @Override
-    public boolean everHandedOver() {
+    public boolean anyRequestSent() {
       return false;
     }
   }
@@ -131,7 +131,7 @@
     RequestFacts facts =
         new RequestFacts(
             "r-1",
-            new CallerGroup(Workspace.ANYBODY.name(), "ask"),
+            new CallerGroup(Workspace.ANONYMOUS.name(), "ask"),
             new RequestTarget(EndpointKind.MODEL, "pool"),
             5_000,
             100,
@@ -156,7 +156,8 @@
     EngineJob job = new EngineJob(7, later, 1_000, 1_000, 1, true, TARGETS, 1_000);
     HostIdentity other = new HostIdentity("host-2", 1);
     FleetReport report =
-        new FleetReport(other, Optional.empty(), 1, "", false, List.of(new EngineNews.Placed(job)));
+        new FleetReport(
+            other, Optional.empty(), 1, "", false, List.of(new EngineUpdate.Placed(job)));
     duty.offer(new RelayEvent.ReportsReceived(List.of(report)));
     assertEquals("cancel", nextAction());
     assertEquals("send to e-1#2", nextAction());
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/ReportBufferTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/ReportBufferTest.java
@@ -17,7 +17,7 @@
 
   private static FleetReport report(long sequence, boolean whole) {
     return new FleetReport(
-        FROM, Optional.empty(), sequence, FleetReport.EVERYWHERE, whole, List.of());
+        FROM, Optional.empty(), sequence, FleetReport.ALL_ZONES, whole, List.of());
   }
 
   @Test
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/SettingsWatchTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/SettingsWatchTest.java
@@ -36,7 +36,7 @@
 
   @Test
   void seedsUseThePeerPort() throws Exception {
-    RelaySettings settings = new ReadRelaySettings(write(text("127.0.0.1:5", 5_000))).call();
+    RelaySettings settings = new RelaySettingsReader(write(text("127.0.0.1:5", 5_000))).read();
     assertEquals("10.0.0.1:3", settings.seeds().get(0).toString());
   }
 
@@ -44,7 +44,7 @@
   void allFaultsAreReported() throws Exception {
     Path file = write(text("somewhere", 0));
     BadSettingsException bad =
-        assertThrows(BadSettingsException.class, () -> new ReadRelaySettings(file).call());
+        assertThrows(BadSettingsException.class, () -> new RelaySettingsReader(file).read());
     assertEquals(2, bad.faults().size());
   }
 
@@ -55,7 +55,7 @@
     SettingsWatch watch =
         new SettingsWatch(
             file,
-            new ReadRelaySettings(file).call(),
+            new RelaySettingsReader(file).read(),
             newer -> applied.add(newer.bounds().revokeMs()),
             new HostLog("test"));
     watch.read();
