--- a/org.fawndrum.bench/src/org/fawndrum/bench/FleetSimulation.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/FleetSimulation.java
@@ -107,25 +107,32 @@
     return "zone-" + index % settings.zones();
   }
 
-  /** Runs a workload to its end and returns the outcome of each request. */
+  /**
+   * Runs a workload and returns the outcome of each request, in order of completion; unfinished
+   * requests are last.
+   *
+   * @param arrivals the requests
+   * @param arriveMs time during which requests arrive, in milliseconds
+   * @param drainMs time after that in which they may complete, in milliseconds
+   */
   List<RequestResult> run(List<Arrival> arrivals, long arriveMs, long drainMs) {
     runMs = arriveMs;
     endMs = runMs + drainMs;
-    at(
+    schedule(
         runMs,
         () ->
             processedInRun =
                 engines.stream().mapToLong(engine -> engine.model.processedTokens()).sum());
-    arrivals.forEach(arrival -> at(arrival.atMs(), () -> arrive(arrival)));
+    arrivals.forEach(arrival -> schedule(arrival.atMs(), () -> arrive(arrival)));
     for (int i = 0; i < hosts.size(); i++) {
       int host = i;
-      at(i, () -> tick(host));
+      schedule(i, () -> tick(host));
     }
     for (Engine engine : engines) {
-      at(engines.indexOf(engine) * 7L % settings.reportEveryMs(), () -> report(engine));
+      schedule(engines.indexOf(engine) * 7L % settings.reportEveryMs(), () -> report(engine));
     }
     if (settings.engineCrashMs() >= 0) {
-      at(settings.engineCrashMs(), () -> crash(engines.get(0)));
+      schedule(settings.engineCrashMs(), () -> crash(engines.get(0)));
     }
     while (!events.isEmpty() && events.peek().atMs() <= endMs) {
       Event event = events.poll();
@@ -143,7 +150,7 @@
     return processedInRun / (settings.tokensPerSecond() * runMs / 1000.0);
   }
 
-  private void at(long atMs, Runnable action) {
+  private void schedule(long atMs, Runnable action) {
     events.add(new Event(atMs, order++, action));
   }
 
@@ -167,7 +174,7 @@
 
   private void tick(int host) {
     execute(host, hosts.get(host).tick(nowMs));
-    at(nowMs + TICK_MS, () -> tick(host));
+    schedule(nowMs + TICK_MS, () -> tick(host));
   }
 
   private void report(Engine engine) {
@@ -175,7 +182,7 @@
       return;
     }
     LoadReport load = engine.model.load(++engine.reports);
-    at(
+    schedule(
         nowMs + settings.reportLagMs(),
         () -> {
           for (int i = 0; i < hosts.size(); i++) {
@@ -184,7 +191,7 @@
             }
           }
         });
-    at(nowMs + settings.reportEveryMs(), () -> report(engine));
+    schedule(nowMs + settings.reportEveryMs(), () -> report(engine));
   }
 
   private boolean isPartitioned(int host, Engine engine) {
@@ -220,7 +227,7 @@
     request.attempts++;
     Engine engine = engine(send.endpoint());
     if (engine.crashed || isPartitioned(host, engine)) {
-      at(nowMs, () -> attemptEvent(send.attempt(), AttemptEvent.CONNECT_FAILED));
+      schedule(nowMs, () -> attemptEvent(send.attempt(), AttemptEvent.CONNECT_FAILED));
       return;
     }
     Arrival arrival = request.arrival;
@@ -236,13 +243,13 @@
             0,
             arrival.prefixes());
     if (!engine.model.submit(job)) {
-      at(nowMs, () -> attemptEvent(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT));
+      schedule(nowMs, () -> attemptEvent(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT));
       return;
     }
     engine.attempts.put(name, send.attempt());
     if (!engine.stepping) {
       engine.stepping = true;
-      at(nowMs, () -> step(engine));
+      schedule(nowMs, () -> step(engine));
     }
   }
 
@@ -255,7 +262,7 @@
       return;
     }
     engine.pending = engine.model.step();
-    at(nowMs + settings.engine().stepMs(), () -> step(engine));
+    schedule(nowMs + settings.engine().stepMs(), () -> step(engine));
   }
 
   private void deliver(Engine engine, EngineModel.Output output) {
--- a/org.fawndrum.bench/src/org/fawndrum/bench/PolicyBench.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/PolicyBench.java
@@ -120,8 +120,8 @@
         seeds,
         faults ? ", engine crashed and zone partitioned" : "");
     System.out.println(
-        "load policy                      first token as a multiple of alone, p50/p95/p99"
-            + "                         slow-");
+        "load policy                      first token, multiple of idle engine, p50/p95/p99"
+            + "                       slow-");
     System.out.println(
         "                                 to 10k            to 100k           over 100k       "
             + "  down  jain  worst done  refus use   long  reps  goodput");
--- a/org.fawndrum.bench/src/org/fawndrum/bench/SlopeBench.java
+++ b/org.fawndrum.bench/src/org/fawndrum/bench/SlopeBench.java
@@ -60,16 +60,16 @@
   }
 
   private static TableRevision table(int rows) {
-    TableRevisionBuilder parts = new TableRevisionBuilder(0, 0);
+    TableRevisionBuilder builder = new TableRevisionBuilder(0, 0);
     for (int row = 0; row < rows; row++) {
       for (Column column : Column.values()) {
         if (!column.defaultValue().isEmpty()) {
           Cell cell = new Cell(column.defaultValue(), 0, "ana");
-          parts.cell(new CellKey(group(row), column), cell);
+          builder.cell(new CellKey(group(row), column), cell);
         }
       }
     }
-    return parts.build();
+    return builder.build();
   }
 
   private static List<Endpoint> endpoints(int count) {
--- a/org.fawndrum.pgm/src/org/fawndrum/pgm/Main.java
+++ b/org.fawndrum.pgm/src/org/fawndrum/pgm/Main.java
@@ -60,14 +60,14 @@
       err.println(e.getMessage());
       return ExitCode.FAILED;
     } catch (IOException e) {
-      return failed(e, err);
+      return reportFailure(e, err);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return ExitCode.FAILED;
     }
   }
 
-  private static int failed(IOException failure, PrintStream err) {
+  private static int reportFailure(IOException failure, PrintStream err) {
     boolean unreachable =
         failure instanceof ConnectException || failure instanceof HttpConnectTimeoutException;
     if (unreachable) {
--- a/org.fawndrum.soak/src/org/fawndrum/soak/Callers.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/Callers.java
@@ -131,7 +131,10 @@
     return openRequests;
   }
 
-  /** Starts callers that send long prompts to one host, each one after the other. */
+  /**
+   * Starts callers that each send long prompts to one host, one after the other, until {@link
+   * #stopPersistentCallers}.
+   */
   void startPersistentCallers(int host) {
     stoppingHost = hosts.get(host);
     for (int i = 0; i < PERSISTENT_CALLERS; i++) {
--- a/org.fawndrum.soak/src/org/fawndrum/soak/CrashChecker.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/CrashChecker.java
@@ -15,10 +15,10 @@
   /** Error code in the answer to a request that is rejected because it crashes endpoints. */
   static final String REJECTED = "ends_endpoints";
 
-  /** Number of crashes after which all hosts must know, and of later runs that are tolerated. */
+  /** Crashes after which all hosts must reject a request; also the maximum number of late runs. */
   private static final int CRASH_LIMIT = 3;
 
-  /** Time within which all hosts must know, in milliseconds. */
+  /** Time after the last of these crashes until all hosts must reject it, in milliseconds. */
   private static final long PROPAGATION_MS = 3_000;
 
   /**
@@ -55,12 +55,12 @@
     }
   }
 
-  /** Records the crash of an engine under a request, where hosts can observe the crash. */
+  /** Records the crash of an engine under a request; only called if hosts can observe it. */
   void recordCrash(String path, long nowMs) {
     crashTimesMs.computeIfAbsent(path, key -> new ArrayList<>()).add(nowMs);
   }
 
-  /** Checks an answer: only requests that crash engines may be rejected for it. */
+  /** Checks an answer: only requests that crash engines may be rejected for crashing them. */
   void recordAnswer(String id, String body) {
     if (body.contains(REJECTED) && !hostsById.containsKey(id)) {
       violations.add(id + " was rejected although it crashes no engine");
--- a/org.fawndrum.soak/src/org/fawndrum/soak/HostProcess.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/HostProcess.java
@@ -80,9 +80,9 @@
    * a signal terminates it (docs/OPEN-FINDINGS.md).
    */
   boolean hasLoggedStart() throws IOException {
-    byte[] all = Files.readAllBytes(output);
-    int from = (int) Math.min(outputOffset, all.length);
-    String text = new String(all, from, all.length - from, StandardCharsets.UTF_8);
+    byte[] bytes = Files.readAllBytes(output);
+    int from = (int) Math.min(outputOffset, bytes.length);
+    String text = new String(bytes, from, bytes.length - from, StandardCharsets.UTF_8);
     return text.contains(STARTING);
   }
 
--- a/org.fawndrum.soak/src/org/fawndrum/soak/NoticeChecker.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/NoticeChecker.java
@@ -13,8 +13,8 @@
  */
 final class NoticeChecker {
   /**
-   * Time after which a host must send an endpoint no more new requests, in milliseconds, from when
-   * the host forwarded an answer with the endpoint's draining notice.
+   * Time in milliseconds after a host has forwarded an answer with an endpoint's draining notice;
+   * requests that callers send to the host later than that must not reach the endpoint.
    */
   private static final long DRAINING_GRACE_MS = 2_000;
 
@@ -123,9 +123,9 @@
     }
     restartsAtArrival.put(new Arrival(id, endpoint), restarts.getOrDefault(endpoint, 0));
     HostEndpoint pair = new HostEndpoint(request.host(), endpoint);
-    Long since = drainingSinceMs.get(pair);
-    if (since != null && request.atMs() > since + DRAINING_GRACE_MS) {
-      long afterMs = request.atMs() - since;
+    Long noticeMs = drainingSinceMs.get(pair);
+    if (noticeMs != null && request.atMs() > noticeMs + DRAINING_GRACE_MS) {
+      long afterMs = request.atMs() - noticeMs;
       violations.add(
           id + " reached " + endpoint + ", sent " + afterMs + " ms after its draining notice");
     }
--- a/org.fawndrum.soak/src/org/fawndrum/soak/ReservationChecker.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/ReservationChecker.java
@@ -40,12 +40,12 @@
 
   /** Records that an engine reserves memory, or renews the reservation, from now on. */
   void recordReserved(String ticket, String engine, long holdMs, long nowMs) {
-    List<Reservation> all = reservations.computeIfAbsent(ticket, key -> new ArrayList<>());
-    Reservation last = all.isEmpty() ? null : all.get(all.size() - 1);
-    if (last != null && last.untilMs >= nowMs) {
-      last.untilMs = nowMs + holdMs;
+    List<Reservation> spans = reservations.computeIfAbsent(ticket, key -> new ArrayList<>());
+    Reservation lastSpan = spans.isEmpty() ? null : spans.get(spans.size() - 1);
+    if (lastSpan != null && lastSpan.untilMs >= nowMs) {
+      lastSpan.untilMs = nowMs + holdMs;
     } else {
-      all.add(new Reservation(engine, nowMs, nowMs + holdMs));
+      spans.add(new Reservation(engine, nowMs, nowMs + holdMs));
     }
   }
 
@@ -73,10 +73,10 @@
     usesByTicket.forEach(
         (ticket, runs) -> {
           if (isChecked(runs)) {
-            long overMs = runs.stream().mapToLong(EndpointRun::endMs).max().orElseThrow();
+            long lastUseEndMs = runs.stream().mapToLong(EndpointRun::endMs).max().orElseThrow();
             for (Reservation reservation : reservations.getOrDefault(ticket, List.of())) {
               long unusedMs =
-                  Math.min(reservation.untilMs, nowMs) - Math.max(reservation.fromMs, overMs);
+                  Math.min(reservation.untilMs, nowMs) - Math.max(reservation.fromMs, lastUseEndMs);
               if (unusedMs > MAX_UNUSED_MS + CLOCK_DELAY_MS) {
                 violations.add(
                     "memory "
--- a/org.fawndrum.soak/src/org/fawndrum/soak/ShutdownChecker.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/ShutdownChecker.java
@@ -124,6 +124,7 @@
     return violations;
   }
 
+  /** Returns the shutdown of its host during which a request was aborted, or null if none. */
   private Shutdown shutdownOf(String id, AbortedRequest aborted) {
     SentRequest request = sentRequests.get(id);
     if (request == null) {
@@ -141,6 +142,7 @@
         .orElse(null);
   }
 
+  /** Whether the host must have read the request before it closed the connection. */
   private boolean wasRead(String id, AbortedRequest aborted, Predicate<String> logged) {
     long waitedMs = aborted.atMs() - sentRequests.get(id).atMs();
     return aborted.midAnswer()
@@ -149,27 +151,31 @@
         || waitedMs > READ_IF_LOGGED_MS && logged.test(id);
   }
 
+  /**
+   * Whether the abort has a valid reason: the deadline, an abort by the endpoint, an impaired link,
+   * or, for old requests, the last part of the grace period.
+   */
   private boolean isExcused(String id, AbortedRequest aborted, Shutdown shutdown) {
     SentRequest request = sentRequests.get(id);
     if (aborted.atMs() >= request.atMs() + request.deadlineMs() - CLOSE_DELAY_MS) {
       return true;
     }
-    List<EndpointRun> all = runsById.getOrDefault(id, List.of());
-    EndpointRun last = all.isEmpty() ? null : all.get(all.size() - 1);
-    if (last != null && (last.isImpaired() || last.isAborted())) {
+    List<EndpointRun> runs = runsById.getOrDefault(id, List.of());
+    EndpointRun lastRun = runs.isEmpty() ? null : runs.get(runs.size() - 1);
+    if (lastRun != null && (lastRun.isImpaired() || lastRun.isAborted())) {
       return true;
     }
-    if (aborted.midAnswer() && senderAborted(all)) {
+    if (aborted.midAnswer() && senderAborted(runs)) {
       return true;
     }
-    boolean elsewhere = last == null || !last.isActiveAt(aborted.atMs() - CLOSE_DELAY_MS);
-    if (elsewhere && wasImpaired(request.atMs(), aborted.atMs())) {
+    boolean atNoEndpoint = lastRun == null || !lastRun.isActiveAt(aborted.atMs() - CLOSE_DELAY_MS);
+    if (atNoEndpoint && wasImpaired(request.atMs(), aborted.atMs())) {
       return true;
     }
     long lastSixthMs = shutdown.signalMs() + graceMs * (GRACE_PARTS - 1) / GRACE_PARTS;
     return request.atMs() <= shutdown.signalMs() + ACCEPT_WINDOW_MS
-        && last != null
-        && last.isActiveAt(lastSixthMs);
+        && lastRun != null
+        && lastRun.isActiveAt(lastSixthMs);
   }
 
   /**
@@ -177,9 +183,9 @@
    * tried other endpoints without success since then. Once another endpoint continues the answer,
    * the earlier abort no longer counts.
    */
-  private static boolean senderAborted(List<EndpointRun> all) {
+  private static boolean senderAborted(List<EndpointRun> runs) {
     EndpointRun sender = null;
-    for (EndpointRun run : all) {
+    for (EndpointRun run : runs) {
       sender = run.hasResponseStarted() ? run : sender;
     }
     return sender != null && (sender.isAborted() || sender.isLostInTransit());
--- a/org.fawndrum.soak/src/org/fawndrum/soak/SoakEndpoint.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/SoakEndpoint.java
@@ -73,7 +73,7 @@
    * Creates an endpoint that does not listen yet.
    *
    * @param client opens the connections of its proxy
-   * @param uses the ticket usage, shared by all endpoints
+   * @param ticketUsage the ticket usage, shared by all endpoints
    * @param id the name, and the key of its entry in the store
    * @param service the service to which it belongs
    * @param events the number of events in a stream; 0 for plain answers
@@ -83,7 +83,7 @@
       Vertx vertx,
       NetClient client,
       PromiseChecker checker,
-      TicketUsage uses,
+      TicketUsage ticketUsage,
       String id,
       String service,
       int events,
@@ -95,7 +95,7 @@
     this.service = service;
     this.events = events;
     this.onRestart = onRestart;
-    this.standin = new EndpointStandin(vertx, id, events, this, uses);
+    this.standin = new EndpointStandin(vertx, id, events, this, ticketUsage);
   }
 
   /** Starts the endpoint and its proxy. */
@@ -251,13 +251,13 @@
       request.connection().close();
       return true;
     }
-    EndpointStandin.ReceivedRequest seen = EndpointStandin.received(request);
-    EndpointRun run = begin(seen.requestId(), request);
-    checker.notices().recordArrival(seen.requestId(), id, Soak.nowMs());
+    EndpointStandin.ReceivedRequest received = EndpointStandin.received(request);
+    EndpointRun run = begin(received.requestId(), request);
+    checker.notices().recordArrival(received.requestId(), id, Soak.nowMs());
     if (requestsBackoff) {
       endpoint.rejectWithBackoff(request, BACKOFF_S);
       if (!impaired) {
-        checker.notices().recordBackoff(seen.requestId(), id, BACKOFF_MS, Soak.nowMs());
+        checker.notices().recordBackoff(received.requestId(), id, BACKOFF_MS, Soak.nowMs());
       }
       return true;
     }
@@ -265,10 +265,10 @@
       endpoint.reject(request);
       return true;
     }
-    checker.recordRun(seen.requestId(), seen.uri(), seen.workspace());
+    checker.recordRun(received.requestId(), received.uri(), received.workspace());
     if (request.path().startsWith(Callers.CRASHING_PATH)) {
-      checker.crashes().recordRun(seen.requestId(), seen.uri(), Soak.nowMs());
-      vertx.setTimer(CRASH_DELAY_MS, timer -> crash(seen.uri()));
+      checker.crashes().recordRun(received.requestId(), received.uri(), Soak.nowMs());
+      vertx.setTimer(CRASH_DELAY_MS, timer -> crash(received.uri()));
       return true;
     }
     if (losesAnswers) {
@@ -276,7 +276,7 @@
       request.connection().close();
       return true;
     }
-    boolean prefills = request.path().startsWith(LONG_PATH) && seen.lastEventId() == null;
+    boolean prefills = request.path().startsWith(LONG_PATH) && received.lastEventId() == null;
     if (prefills) {
       long prefillMs = MIN_PREFILL_MS + number % PREFILL_STEPS * PREFILL_STEP_MS;
       BooleanSupplier remembered = standin.rememberedSince();
--- a/org.fawndrum.soak/src/org/fawndrum/soak/SoakSite.java
+++ b/org.fawndrum.soak/src/org/fawndrum/soak/SoakSite.java
@@ -238,8 +238,8 @@
 
   /** Makes an engine hang permanently, preferably one that prefills a long prompt. */
   private void hangEngine(SoakEndpoint otherwise) {
-    long hung = endpoints.stream().filter(SoakEndpoint::isHung).count();
-    if (hung < Fault.MAX_HUNG_ENGINES) {
+    long hungCount = endpoints.stream().filter(SoakEndpoint::isHung).count();
+    if (hungCount < Fault.MAX_HUNG_ENGINES) {
       prefillingEngineOr(otherwise).ifPresent(SoakEndpoint::hang);
     }
   }
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/NoticeCheckerTest.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/NoticeCheckerTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void requestThatReachesADrainingEndpoint() {
+  void lateRequestToDrainingEndpointIsReported() {
     drainingNoticeThenSend(12_101);
     notices.recordArrival("later", "engine-0", 12_110);
     assertViolation("later reached engine-0, sent 2001 ms after");
@@ -53,13 +53,13 @@
   }
 
   @Test
-  void thirdRequestDuringABackoff() {
+  void thirdRequestDuringBackoffIsReported() {
     arriveDuringBackoff("a", "b", "c", "d");
     assertViolation("c reached engine-0 during its backoff");
   }
 
   @Test
-  void requestsInTransitAfterTheBackoffOrUpToTwoAreAccepted() {
+  void requestsInTransitAfterBackoffOrUpToTwoDuringItAreAccepted() {
     arriveDuringBackoff("a", "b");
     notices.recordArrival("a", "engine-0", 10_500);
     notices.recordArrival("b", "engine-0", 12_000);
--- a/org.fawndrum.soak/tst/org/fawndrum/soak/PromiseCheckerTest.java
+++ b/org.fawndrum.soak/tst/org/fawndrum/soak/PromiseCheckerTest.java
@@ -53,14 +53,14 @@
   }
 
   @Test
-  void aSecondRun() {
+  void secondRunIsReported() {
     run("once", "/once/1");
     run("once", "/once/1");
     assertViolation("ran 2 times");
   }
 
   @Test
-  void aRunAfterARefusal() {
+  void runAfterRefusalIsReported() {
     checker.recordAnswer("once", 503, null, null, "");
     assertEquals(List.of(), checker.allViolations(nowMs, logged::contains));
     run("once", "/once/1");
@@ -68,49 +68,49 @@
   }
 
   @Test
-  void aRunOfAnUnknownRequest() {
+  void runOfUnknownRequestIsReported() {
     run("other", "/once/1");
     assertViolation("which nobody sent");
   }
 
   @Test
-  void aRunForAnotherWorkspace() {
+  void runForAnotherWorkspaceIsReported() {
     checker.recordRun("once", "/once/1", "lab");
     assertViolation("of lab");
   }
 
   @Test
-  void aChangedPath() {
+  void changedPathIsReported() {
     run("once", "/once/2");
     assertViolation("ran as /once/2");
   }
 
   @Test
-  void incompleteSuccess() {
+  void incompleteAnswerIsReported() {
     checker.recordAnswer("look", 200, "look", "seal", "who");
     assertViolation("was answered");
   }
 
   @Test
-  void aSuccessWithoutASeal() {
+  void successWithoutSealIsReported() {
     checker.recordAnswer("look", 200, "look", null, "whole");
     assertViolation("was answered");
   }
 
   @Test
-  void answerToAnotherRequest() {
+  void answerToAnotherRequestIsReported() {
     checker.recordAnswer("look", 200, "once", "seal", "whole");
     assertViolation("was answered for once");
   }
 
   @Test
-  void denialWithValidKey() {
+  void denialOfValidKeyIsReported() {
     checker.recordAnswer("look", 401, null, null, "");
     assertViolation("was denied with 401");
   }
 
   @Test
-  void aRunLongAfterItsKeyWasRevoked() {
+  void runLongAfterKeyRevocationIsReported() {
     checker.recordRevocation("k", 0);
     run("once", "/once/1");
     assertEquals(List.of(), checker.allViolations(nowMs, logged::contains));
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void memoryReservedLongAfterUse() {
+  void memoryReservedLongAfterUseIsReported() {
     EndpointRun run = checker.recordArrival("look", List.of("ticket"));
     run.complete(8_000);
     reserveUntil(12_400);
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void memoryReservedLongAfterMainEngineHung() {
+  void memoryReservedLongAfterMainEngineHungIsReported() {
     EndpointRun run = checker.recordArrival("look", List.of("ticket"));
     run.abort(8_000);
     reserveUntil(13_000);
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void memoryStillReservedAtTheEnd() {
+  void memoryStillReservedAtTheEndIsReported() {
     checker.recordArrival("look", List.of("ticket")).complete(1_500);
     checker.reservations().recordReserved("ticket", "engine-1", 60_000, 1_000);
     nowMs = 5_500;
@@ -163,7 +163,7 @@
   }
 
   @Test
-  void memoryCountsFromTheLastUse() {
+  void unusedTimeCountsFromLastUse() {
     checker.recordArrival("look", List.of("ticket")).complete(2_000);
     checker.recordArrival("look", List.of("ticket")).complete(8_000);
     reserveUntil(12_000);
@@ -211,21 +211,21 @@
   }
 
   @Test
-  void requestAcceptedLateInShutdownAndAborted() {
+  void abortOfRequestAcceptedLateInShutdownIsReported() {
     shutDown(17_700);
     runAndAbort(15_200, 17_600);
     assertViolation("look was aborted 7600 ms after the stop signal to host-1, sent at 5200 ms");
   }
 
   @Test
-  void requestInProgressAbortedEarlyInShutdown() {
+  void abortOfOldRequestEarlyInShutdownIsReported() {
     shutDown(12_500);
     runAndAbort(9_000, 12_500);
     assertViolation("look was aborted 2500 ms after");
   }
 
   @Test
-  void answerAbortedInTheMiddle() {
+  void abortInTheMiddleOfAnAnswerIsReported() {
     shutDown(12_500);
     sendDuringShutdown(12_400);
     checker.shutdowns().recordAborted("look", true, 12_500);
@@ -289,7 +289,7 @@
   }
 
   @Test
-  void waitingRequestAborted() {
+  void abortOfWaitingRequestIsReported() {
     shutDown(13_500);
     sendDuringShutdown(12_000);
     checker.shutdowns().recordAborted("look", false, 13_100);
@@ -297,7 +297,7 @@
   }
 
   @Test
-  void loggedRequestAbortedSoonAfterSending() {
+  void abortOfLoggedRequestIsReported() {
     shutDown(13_500);
     sendDuringShutdown(12_000);
     checker.shutdowns().recordAborted("look", false, 12_300);
@@ -321,7 +321,7 @@
   }
 
   @Test
-  void oldRequestAbortedBeforeTheLastSixth() {
+  void abortOfOldRequestBeforeTheLastSixthIsReported() {
     shutDown(17_700);
     runAndAbort(12_900, 16_000);
     assertViolation("look was aborted 6000 ms after");
@@ -385,7 +385,7 @@
   }
 
   @Test
-  void requestThatRunsOnAfterThreeCrashes() {
+  void fourthLateRunAfterThreeCrashesIsReported() {
     threeCrashes("/ask/deadly-1");
     runAgain(20, 3_500);
     runAgain(3, 5_000);
@@ -405,7 +405,7 @@
   }
 
   @Test
-  void harmlessRequestRejected() {
+  void rejectionOfHarmlessRequestIsReported() {
     checker.crashes().recordAnswer("look", "{\"code\":\"ends_endpoints\"}");
     assertViolation("although it crashes no engine");
   }
