--- a/org.fawndrum/src/org/fawndrum/coordination/Admission.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Admission.java
@@ -106,8 +106,8 @@
    * Returns when the first part of the answer is due, or the deadline if there is no such target.
    */
   private static long answerDueMs(OpenRequest request) {
-    long aimMs = request.facts.latencyTargets().firstTokenMs();
-    return aimMs > 0 ? request.facts.arrivedMs() + aimMs : request.deadlineMs;
+    long targetMs = request.facts.latencyTargets().firstTokenMs();
+    return targetMs > 0 ? request.facts.arrivedMs() + targetMs : request.deadlineMs;
   }
 
   /** Whether the request needs more memory than any endpoint of its target can ever provide. */
--- a/org.fawndrum/src/org/fawndrum/coordination/DispatchRate.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/DispatchRate.java
@@ -29,26 +29,26 @@
   }
 
   void recordDispatch(RequestTarget target, long tokens, long nowMs) {
-    DecayingSum fading = byTarget.get(target);
-    if (fading == null) {
-      fading = new DecayingSum();
-      fading.firstMs = nowMs;
-      fading.lastMs = nowMs;
-      byTarget.put(target, fading);
+    DecayingSum dispatched = byTarget.get(target);
+    if (dispatched == null) {
+      dispatched = new DecayingSum();
+      dispatched.firstMs = nowMs;
+      dispatched.lastMs = nowMs;
+      byTarget.put(target, dispatched);
     }
-    fading.decay(nowMs);
-    fading.sum += tokens;
+    dispatched.decay(nowMs);
+    dispatched.sum += tokens;
   }
 
   /** Returns the rate in tokens per second, or 0 if the measurement is too short. */
   double tokensPerSecond(RequestTarget target, long nowMs) {
-    DecayingSum fading = byTarget.get(target);
-    if (fading == null) {
+    DecayingSum dispatched = byTarget.get(target);
+    if (dispatched == null) {
       return 0;
     }
-    fading.decay(nowMs);
-    double age = nowMs - fading.firstMs;
+    dispatched.decay(nowMs);
+    double age = nowMs - dispatched.firstMs;
     double windowMs = HALF_LIFE_MS / Math.log(2) * (1 - Math.pow(0.5, age / HALF_LIFE_MS));
-    return windowMs < MS_PER_SECOND ? 0 : fading.sum / windowMs * MS_PER_SECOND;
+    return windowMs < MS_PER_SECOND ? 0 : dispatched.sum / windowMs * MS_PER_SECOND;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/EarliestFirstTokenPlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EarliestFirstTokenPlacement.java
@@ -92,8 +92,9 @@
 
   private long prefillMs(EndpointState state, Query query) {
     long cached = state.prefixes().matchingBlocks(query.facts().prefixes()) * BLOCK_TOKENS;
-    long toRead = Math.max(1, query.facts().promptTokens() - cached);
-    return (long) (toRead * MS_PER_SECOND / state.tokensPerSecond()) + zoneMs(state, query);
+    long tokensToPrefill = Math.max(1, query.facts().promptTokens() - cached);
+    return (long) (tokensToPrefill * MS_PER_SECOND / state.tokensPerSecond())
+        + zoneMs(state, query);
   }
 
   private long plainMs(EndpointState state, Query query) {
--- a/org.fawndrum/src/org/fawndrum/coordination/EndpointEligibility.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EndpointEligibility.java
@@ -165,14 +165,14 @@
 
   /** Returns the endpoints eligible for new work. */
   public List<Endpoint> eligible() {
-    List<Endpoint> open = new ArrayList<>();
+    List<Endpoint> eligible = new ArrayList<>();
     for (Endpoint endpoint : listing.endpoints()) {
       Endpoint newest = atNewestIncarnation(endpoint);
       if (!draining.contains(newest.identity()) && !unverified.contains(newest.identity())) {
-        open.add(newest);
+        eligible.add(newest);
       }
     }
-    return open;
+    return eligible;
   }
 
   /** Returns a listed endpoint at its newest known incarnation, since the list may lag behind. */
--- a/org.fawndrum/src/org/fawndrum/coordination/EndpointState.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EndpointState.java
@@ -9,7 +9,7 @@
 
 /**
  * This host's view of one endpoint incarnation: its last load report, and the attempts of this host
- * sent since that the report cannot include yet. Confined to one thread.
+ * that the report cannot include yet. Confined to one thread.
  */
 public final class EndpointState {
   /** Assumed speed of an engine before its first report, in prompt tokens per second. */
--- a/org.fawndrum/src/org/fawndrum/coordination/EngineWork.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/EngineWork.java
@@ -62,9 +62,17 @@
       boolean decodes,
       long nowMs) {
     HostIdentity endpoint = state.endpoint().identity();
-    LatencyTargets aims = facts.latencyTargets().remainingAfter(nowMs - facts.arrivedMs());
+    LatencyTargets remainingTargets =
+        facts.latencyTargets().remainingAfter(nowMs - facts.arrivedMs());
     return new EngineJob(
-        nextId++, endpoint, facts.promptTokens(), memory, engines, decodes, aims, nowMs);
+        nextId++,
+        endpoint,
+        facts.promptTokens(),
+        memory,
+        engines,
+        decodes,
+        remainingTargets,
+        nowMs);
   }
 
   private void add(OpenRequest.Attempt attempt, EngineJob job, long nowMs) {
@@ -154,9 +162,9 @@
     return updates;
   }
 
-  /** Applies updates of another daemon. If {@code all} is set they contain all of its work. */
-  void applyUpdate(HostIdentity from, List<EngineUpdate> updates, boolean all, long nowMs) {
-    if (all) {
+  /** Applies updates of another daemon. If {@code complete} is set they contain all its work. */
+  void applyUpdate(HostIdentity from, List<EngineUpdate> updates, boolean complete, long nowMs) {
+    if (complete) {
       replaceAll(from, updates, nowMs);
     } else {
       updates.forEach(update -> applyUpdate(from, update, nowMs));
@@ -174,13 +182,13 @@
         jobs.putIfAbsent(job.id(), job);
         state.load().add(job, nowMs);
       }
-    } else if (update instanceof EngineUpdate.Prefilled read) {
-      EngineJob job = jobs.get(read.id());
+    } else if (update instanceof EngineUpdate.Prefilled prefilled) {
+      EngineJob job = jobs.get(prefilled.id());
       if (job != null) {
         updateLoad(job, load -> load.recordFirstToken(job.id(), nowMs));
       }
-    } else if (update instanceof EngineUpdate.Completed ended) {
-      removeJob(jobs.remove(ended.id()), ended.failed(), nowMs);
+    } else if (update instanceof EngineUpdate.Completed completed) {
+      removeJob(jobs.remove(completed.id()), completed.failed(), nowMs);
     }
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/Policies.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/Policies.java
@@ -56,7 +56,7 @@
    * @param retries the retry budget
    * @param byZone whether daemons send each other immediate updates only about engines of their own
    *     zone
-   * @param silentZones the availability zones from which no daemon is heard
+   * @param silentZones the availability zones from which this host receives no messages
    */
   public static Policies engineModel(
       RetryBudget retries, BooleanSupplier byZone, Supplier<Set<String>> silentZones) {
@@ -72,9 +72,9 @@
   }
 
   /** Returns these policies for a host that may temporarily not receive from all other daemons. */
-  public Policies withAllHostsReporting(BooleanSupplier receivesFromAll) {
+  public Policies withAllHostsReporting(BooleanSupplier allReporting) {
     return new Policies(
-        placement, order, lengthClassifier, retries, maxAttempts, receivesFromAll, refuseEarly);
+        placement, order, lengthClassifier, retries, maxAttempts, allReporting, refuseEarly);
   }
 
   private static Policies of(Placement placement, QueueOrder order, boolean refuseEarly) {
--- a/org.fawndrum/src/org/fawndrum/coordination/ReachableZonePlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/ReachableZonePlacement.java
@@ -7,11 +7,11 @@
 import java.util.function.Supplier;
 
 /**
- * Excludes endpoints in availability zones from which no daemon is heard. Such a zone is probably
- * partitioned off, and a prompt prefilled by engines of all zones would fail at each of its engines
- * in turn. Considers all endpoints when no other one can take a request, because only the daemons
- * may be down. During a partition this raised the fraction of expected requests served by 0.03 to
- * 0.2 (four simulated days, without the cost of processor time).
+ * Excludes endpoints in availability zones from which this host receives no messages. Such a zone
+ * is probably partitioned off, and a prompt prefilled by engines of all zones would fail at each of
+ * its engines in turn. Considers all endpoints when no other one can take a request, because only
+ * the daemons may be down. During a partition this raised the fraction of expected requests served
+ * by 0.03 to 0.2 (four simulated days, without the cost of processor time).
  */
 public final class ReachableZonePlacement implements Placement {
   private final Placement delegate;
@@ -21,7 +21,7 @@
    * Creates the placement.
    *
    * @param delegate chooses among the endpoints considered
-   * @param silentZones provides the zones from which no daemon is heard
+   * @param silentZones provides the zones from which this host receives no messages
    */
   public ReachableZonePlacement(Placement delegate, Supplier<Set<String>> silentZones) {
     this.delegate = delegate;
--- a/org.fawndrum/src/org/fawndrum/coordination/RefusalRules.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RefusalRules.java
@@ -74,7 +74,7 @@
     if (event == AttemptEvent.ENDPOINT_BACKOFF) {
       return;
     }
-    // An endpoint that refuses and requests a backoff has named its end, and has not failed.
+    // A refusal with a requested backoff does not count as a failure: the endpoint named its end.
     boolean onlyBackoff =
         event == AttemptEvent.REFUSED_BY_ENDPOINT && attempt.endpoint.inRequestedBackoff(nowMs);
     boolean mayBeSlow = event == AttemptEvent.FAILED_BY_ENDPOINT || event == AttemptEvent.STALLED;
--- a/org.fawndrum/src/org/fawndrum/coordination/RequestCoordinator.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RequestCoordinator.java
@@ -15,7 +15,7 @@
 
 /**
  * Decides on the requests of one entry host: which run now, which wait and which are refused. Turns
- * events with their time into actions. Confined to one thread; does not read a clock.
+ * timestamped events into actions. Confined to one thread; does not read a clock.
  */
 public final class RequestCoordinator {
   /** Interval at which a request that found no endpoint is offered again, in milliseconds. */
@@ -288,7 +288,7 @@
       OpenRequest request, OpenRequest.Attempt attempt, AttemptEvent event, long nowMs) {
     if (attempt.state == AttemptState.DONE) {
       attempt.endpoint.recordSuccess();
-      suspected.requestServed(request, nowMs);
+      suspected.requestAnswered(request, nowMs);
       finish(request, attempt, nowMs);
     } else {
       followUp(request, attempt, failures.failed(request, attempt, event, nowMs), nowMs);
--- a/org.fawndrum/src/org/fawndrum/coordination/RetryRule.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RetryRule.java
@@ -12,7 +12,10 @@
     this.policies = policies;
   }
 
-  /** Returns why a request is not sent again, or null if it is. */
+  /**
+   * Returns why a request is not sent again, or null if it is; in that case takes a retry from the
+   * budget if the failed attempt was sent.
+   */
   Reason denialReason(
       OpenRequest request, OpenRequest.Attempt attempt, AttemptEvent event, long nowMs) {
     if (!RefusalRules.mayRetry(request, attempt)) {
--- a/org.fawndrum/src/org/fawndrum/coordination/ShutdownWindow.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/ShutdownWindow.java
@@ -40,9 +40,9 @@
   private static final long EXIT_BEFORE_KILL_MS = 150;
 
   /**
-   * Divisor of the grace period that gives its last part. Operators tolerate the truncation of
-   * answers that an endpoint is still generating in that part only, so a host must not start its
-   * shutdown before it.
+   * The last part of the grace period is the period divided by this number. Operators tolerate the
+   * truncation of answers that an endpoint is still generating in that part only, so a host must
+   * not start its shutdown before it.
    */
   private static final long PROTECTED_TAIL_DIVISOR = 6;
 
@@ -51,11 +51,12 @@
   private final long earliestShutdownMs;
   private final long exitMs;
 
-  private ShutdownWindow(long acceptAllUntilMs, long endMs, long earliestShutdownMs, long goneMs) {
+  private ShutdownWindow(
+      long acceptAllUntilMs, long shutdownMs, long earliestShutdownMs, long exitMs) {
     this.acceptAllUntilMs = acceptAllUntilMs;
-    this.shutdownMs = endMs;
+    this.shutdownMs = shutdownMs;
     this.earliestShutdownMs = earliestShutdownMs;
-    this.exitMs = goneMs;
+    this.exitMs = exitMs;
   }
 
   /**
@@ -68,13 +69,13 @@
     long shutdownAfterMs = Math.max(0, graceMs - SHUTDOWN_BEFORE_KILL_MS);
     long acceptAllMs =
         Math.min(shutdownAfterMs, Math.min(ACCEPT_ALL_MS, (long) (graceMs * ACCEPT_ALL_FRACTION)));
-    long goneMs = Math.max(0, graceMs - EXIT_BEFORE_KILL_MS);
+    long exitMs = Math.max(0, graceMs - EXIT_BEFORE_KILL_MS);
     long earliestMs = Math.min(shutdownAfterMs, graceMs - graceMs / PROTECTED_TAIL_DIVISOR);
     return new ShutdownWindow(
         orderedMs + acceptAllMs,
         orderedMs + shutdownAfterMs,
         orderedMs + earliestMs,
-        orderedMs + goneMs);
+        orderedMs + exitMs);
   }
 
   /**
--- a/org.fawndrum/src/org/fawndrum/coordination/SuspectedRequests.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/SuspectedRequests.java
@@ -24,11 +24,11 @@
   /** Interval at which held requests are checked, in milliseconds. */
   private static final long RECHECK_INTERVAL_MS = 20;
 
-  private final CrashRegistry crashLedger;
+  private final CrashRegistry crashRegistry;
   private final List<OpenRequest> heldRequests = new ArrayList<>();
   private final LostAttempts lostAttempts = new LostAttempts();
   private final EndpointRegistry endpoints;
-  private final BooleanSupplier receivesFromAll;
+  private final BooleanSupplier allHostsReporting;
   private final List<Action> actions;
   private boolean hasNewRejections;
   private long nextRecheckMs = Long.MAX_VALUE;
@@ -36,20 +36,23 @@
   SuspectedRequests(
       HostIdentity self,
       EndpointRegistry endpoints,
-      BooleanSupplier receivesFromAll,
+      BooleanSupplier allHostsReporting,
       List<Action> actions) {
-    this.crashLedger = new CrashRegistry(self);
+    this.crashRegistry = new CrashRegistry(self);
     this.endpoints = endpoints;
-    this.receivesFromAll = receivesFromAll;
+    this.allHostsReporting = allHostsReporting;
     this.actions = actions;
   }
 
   /** Whether a request is rejected. */
   boolean rejects(RequestFacts facts, long nowMs) {
-    return crashLedger.verdict(facts.content(), nowMs) == CrashVerdict.REJECTED;
+    return crashRegistry.verdict(facts.content(), nowMs) == CrashVerdict.REJECTED;
   }
 
-  /** Holds a request if it must not be sent before more is known. Returns whether it is held. */
+  /**
+   * Holds a request that must not be sent yet, because its crashes have not settled or another copy
+   * has the execution lease. Returns whether it is held.
+   */
   boolean holdIfRequired(OpenRequest request, long nowMs) {
     releaseLease(request);
     return !mayProceed(request, nowMs) && hold(request, nowMs);
@@ -61,8 +64,8 @@
    */
   boolean recheckBeforeDispatch(OpenRequest request, long nowMs) {
     RequestContent content = request.facts.content();
-    boolean hasLease = request.lease != null && crashLedger.isLeaseValid(request.lease, nowMs);
-    return !hasLease && crashLedger.needsLease(content) && holdIfRequired(request, nowMs);
+    boolean hasLease = request.lease != null && crashRegistry.isLeaseValid(request.lease, nowMs);
+    return !hasLease && crashRegistry.needsLease(content) && holdIfRequired(request, nowMs);
   }
 
   private boolean hold(OpenRequest request, long nowMs) {
@@ -71,16 +74,17 @@
   }
 
   /**
-   * Whether a request that is not rejected may proceed now. Acquires an execution lease if needed.
+   * Whether a request need not be held: it is rejected, or it may be sent now. Acquires the
+   * execution lease in the latter case if one is needed.
    */
   private boolean mayProceed(OpenRequest request, long nowMs) {
     RequestContent content = request.facts.content();
-    CrashVerdict verdict = crashLedger.verdict(content, nowMs);
-    if (verdict != CrashVerdict.ALLOWED || !crashLedger.needsLease(content)) {
+    CrashVerdict verdict = crashRegistry.verdict(content, nowMs);
+    if (verdict != CrashVerdict.ALLOWED || !crashRegistry.needsLease(content)) {
       return verdict != CrashVerdict.DELAYED;
     }
-    publish(crashLedger.requestLease(content, nowMs));
-    request.lease = crashLedger.acquireLease(content, nowMs).orElse(null);
+    publish(crashRegistry.requestLease(content, nowMs));
+    request.lease = crashRegistry.acquireLease(content, nowMs).orElse(null);
     return request.lease != null;
   }
 
@@ -89,7 +93,7 @@
    * delay ends when a copy may run again.
    */
   Refusal quarantinedTooLong(OpenRequest request, long nowMs) {
-    long untilMs = crashLedger.quarantinedUntilMs(request.facts.content());
+    long untilMs = crashRegistry.quarantinedUntilMs(request.facts.content());
     return untilMs > request.deadlineMs
         ? RefusalRules.unavailable(request, RefusalKind.QUARANTINED, untilMs - nowMs)
         : null;
@@ -103,9 +107,9 @@
     boolean sentUnderLease = last != null && last.sentMs >= request.lease.atMs();
     boolean ranUnanswered = sentUnderLease && !last.terminationSeen && last.mayHaveRunUnanswered();
     if (ranUnanswered) {
-      publish(crashLedger.recordInconclusiveRun(request.lease));
+      publish(crashRegistry.recordInconclusiveRun(request.lease));
     } else {
-      crashLedger.releaseLease(request.lease);
+      crashRegistry.releaseLease(request.lease);
     }
     request.lease = null;
   }
@@ -115,11 +119,11 @@
    */
   List<EndpointState> isolatedEndpoints(OpenRequest request, List<EndpointState> candidates) {
     RequestContent content = request.facts.content();
-    if (!crashLedger.isIsolated(content)) {
+    if (!crashRegistry.isIsolated(content)) {
       return candidates;
     }
     return candidates.stream()
-        .filter(state -> crashLedger.mayRunAt(content, state.endpoint().identity()))
+        .filter(state -> crashRegistry.mayRunAt(content, state.endpoint().identity()))
         .toList();
   }
 
@@ -172,7 +176,7 @@
         .ifPresent(
             fingerprint ->
                 publish(
-                    crashLedger.recordIncarnationEnd(
+                    crashRegistry.recordIncarnationEnd(
                         attempt.endpoint(), fingerprint, attempt.sentMs(), attempt.atMs())));
   }
 
@@ -189,18 +193,18 @@
         .ifPresent(
             fingerprint ->
                 publish(
-                    crashLedger.recordCrash(
+                    crashRegistry.recordCrash(
                         attempt.endpoint(), fingerprint, attempt.sentMs(), attempt.atMs())));
   }
 
   /** Records that an endpoint completed a request and survived. */
-  void requestServed(OpenRequest request, long nowMs) {
-    publish(crashLedger.recordAnswer(request.facts.content(), nowMs));
+  void requestAnswered(OpenRequest request, long nowMs) {
+    publish(crashRegistry.recordAnswer(request.facts.content(), nowMs));
   }
 
   /** Applies an update from another host. */
   public void applyUpdate(CrashUpdate update, long nowMs) {
-    publish(crashLedger.merge(update, nowMs));
+    publish(crashRegistry.merge(update, nowMs));
     for (EndpointCrash crash : update.crashes()) {
       lostAttempts.takeTerminatedWith(crash.endpoint(), crash.atMs()).forEach(this::recordCrash);
     }
@@ -211,12 +215,12 @@
    * refused.
    */
   void decide(long nowMs, Consumer<OpenRequest> released) {
-    if (nowMs >= crashLedger.nextDecisionMs()) {
-      crashLedger.allHostsReporting(receivesFromAll.getAsBoolean());
+    if (nowMs >= crashRegistry.nextDecisionMs()) {
+      crashRegistry.allHostsReporting(allHostsReporting.getAsBoolean());
     }
-    List<RejectedRequest> update = crashLedger.decide(nowMs);
-    if (!update.isEmpty()) {
-      publish(CrashUpdate.ofRejected(update));
+    List<RejectedRequest> newlyRejected = crashRegistry.decide(nowMs);
+    if (!newlyRejected.isEmpty()) {
+      publish(CrashUpdate.ofRejected(newlyRejected));
     }
     release(nowMs, released);
   }
@@ -250,35 +254,35 @@
    * call.
    */
   public List<CrashFinding> takeFindings() {
-    return crashLedger.takeFindings();
+    return crashRegistry.takeFindings();
   }
 
   /** Returns when {@link #decide} is next due, or {@link Long#MAX_VALUE} if it is not. */
   long dueMs() {
-    return Math.min(nextRecheckMs, crashLedger.nextDecisionMs());
+    return Math.min(nextRecheckMs, crashRegistry.nextDecisionMs());
   }
 
-  /** Returns a digest of the evidence, equal on hosts that know the same. */
+  /** Returns a digest of the evidence, equal on hosts that have the same evidence. */
   public long summary() {
-    return crashLedger.digest();
+    return crashRegistry.digest();
   }
 
   /** Clears the rejection of a request, given by the fingerprint used in logs and by operators. */
   public void clearRejection(String fingerprint, long nowMs) {
-    for (RejectedRequest rejected : crashLedger.rejected()) {
+    for (RejectedRequest rejected : crashRegistry.rejected()) {
       if (rejected.request().toString().equals(fingerprint)) {
-        publish(crashLedger.clearRejection(rejected.request(), nowMs));
+        publish(crashRegistry.clearRejection(rejected.request(), nowMs));
       }
     }
   }
 
   /** Returns the requests that are rejected now. */
   public List<RejectedRequest> rejected() {
-    return crashLedger.rejected();
+    return crashRegistry.rejected();
   }
 
-  /** Returns all evidence of this host, for a host that may know less. */
+  /** Returns all evidence of this host, for a host that may lack some of it. */
   public CrashUpdate allUpdates() {
-    return crashLedger.fullUpdate();
+    return crashRegistry.fullUpdate();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/SweepRule.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/SweepRule.java
@@ -28,7 +28,7 @@
     /** Whether the platform lists the owner's host. */
     boolean listed(HostIdentity owner);
 
-    /** Whether the owner was heard from recently. */
+    /** Whether a message of the owner was received recently. */
     boolean alive(HostIdentity owner);
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/TokenBucket.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/TokenBucket.java
@@ -50,7 +50,7 @@
     return true;
   }
 
-  /** Returns an amount that was taken and not used. */
+  /** Puts back an amount that was taken and not used. */
   public void refund(double amount) {
     level = Math.min(burst, level + amount);
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashHistory.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashHistory.java
@@ -48,8 +48,8 @@
   private boolean allHostsReporting = true;
 
   /** Sets whether this host receives messages from all known hosts, and so knows of all crashes. */
-  void allHostsReporting(boolean all) {
-    allHostsReporting = all;
+  void allHostsReporting(boolean reporting) {
+    allHostsReporting = reporting;
   }
 
   /** Returns whether this host receives messages from all known hosts. */
@@ -77,9 +77,9 @@
       }
       return bounded;
     }
-    Set<RequestFingerprint> under = new HashSet<>(existing.requests());
-    under.addAll(crash.requests());
-    EndpointCrash merged = bounded(existing.mergedWith(crash, under), under);
+    Set<RequestFingerprint> allRequests = new HashSet<>(existing.requests());
+    allRequests.addAll(crash.requests());
+    EndpointCrash merged = bounded(existing.mergedWith(crash, allRequests), allRequests);
     if (merged.endpoint().equals(existing.endpoint())
         && merged.requests().equals(existing.requests())) {
       return null;
@@ -136,10 +136,10 @@
         && crashes.stream().anyMatch(other -> other.endpoint().equals(crash.endpoint()));
   }
 
-  private static EndpointCrash bounded(EndpointCrash crash, Set<RequestFingerprint> under) {
+  private static EndpointCrash bounded(EndpointCrash crash, Set<RequestFingerprint> allRequests) {
     Set<RequestFingerprint> sorted = new HashSet<>();
     // Sorted, because all hosts must keep the same requests.
-    under.stream().sorted(BY_HASH).limit(MAX_REQUESTS_PER_CRASH).forEach(sorted::add);
+    allRequests.stream().sorted(BY_HASH).limit(MAX_REQUESTS_PER_CRASH).forEach(sorted::add);
     return crash.withRequests(sorted);
   }
 
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashRegistry.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashRegistry.java
@@ -65,9 +65,9 @@
     this.leases = new ExecutionLeases(self);
   }
 
-  /** Sets whether this host receives messages from all known hosts, and so what they observed. */
-  public void allHostsReporting(boolean all) {
-    history.allHostsReporting(all);
+  /** Sets whether this host receives messages from all known hosts, and thus their observations. */
+  public void allHostsReporting(boolean reporting) {
+    history.allHostsReporting(reporting);
   }
 
   /**
@@ -76,8 +76,8 @@
    * @param lastSentMs when the request was sent to it
    */
   public CrashUpdate recordCrash(
-      HostIdentity endpoint, RequestFingerprint request, long takenMs, long nowMs) {
-    EndpointCrash crash = new EndpointCrash(endpoint, takenMs, nowMs, Set.of(request));
+      HostIdentity endpoint, RequestFingerprint request, long lastSentMs, long nowMs) {
+    EndpointCrash crash = new EndpointCrash(endpoint, lastSentMs, nowMs, Set.of(request));
     EndpointCrash changed = add(crash, nowMs);
     return changed == null ? CrashUpdate.NONE : CrashUpdate.of(changed);
   }
@@ -91,11 +91,11 @@
    * @param brokenMs when the connection broke
    */
   public CrashUpdate recordIncarnationEnd(
-      HostIdentity start, RequestFingerprint request, long takenMs, long brokenMs) {
-    EndpointCrash crash = new EndpointCrash(start, takenMs, brokenMs, Set.of(request));
+      HostIdentity endpoint, RequestFingerprint request, long lastSentMs, long brokenMs) {
+    EndpointCrash crash = new EndpointCrash(endpoint, lastSentMs, brokenMs, Set.of(request));
     return history.hasCrashAtOtherTime(crash)
         ? CrashUpdate.NONE
-        : recordCrash(start, request, takenMs, brokenMs);
+        : recordCrash(endpoint, request, lastSentMs, brokenMs);
   }
 
   private EndpointCrash add(EndpointCrash crash, long nowMs) {
@@ -111,11 +111,11 @@
   }
 
   private void refreshSuspects() {
-    Set<RequestFingerprint> all = history.requests();
-    all.addAll(rejected.keySet());
-    suspects = all;
+    Set<RequestFingerprint> allSuspects = history.requests();
+    allSuspects.addAll(rejected.keySet());
+    suspects = allSuspects;
     Set<Long> allLengths = new HashSet<>();
-    all.forEach(request -> allLengths.add(request.bytes()));
+    allSuspects.forEach(request -> allLengths.add(request.bytes()));
     suspectLengths = allLengths;
     rules.invalidate();
     digestStale = true;
@@ -142,27 +142,27 @@
     return clear(new AnsweredRequest(request, nowMs));
   }
 
-  private CrashUpdate clear(AnsweredRequest served) {
-    Long before = lastAnsweredMs.get(served.request());
-    boolean isNew = before == null || served.atMs() > before + CrashRules.SETTLE_MS;
+  private CrashUpdate clear(AnsweredRequest answer) {
+    Long before = lastAnsweredMs.get(answer.request());
+    boolean isNew = before == null || answer.atMs() > before + CrashRules.SETTLE_MS;
     if (!isNew) {
       return CrashUpdate.NONE;
     }
-    put(lastAnsweredMs, served);
-    leases.endStartedBefore(served.request(), served.atMs());
-    inconclusiveRuns.forget(served.request(), served.atMs());
-    history.removeRequest(served.request(), served.atMs());
-    Rejection rejection = rejected.get(served.request());
-    if (rejection != null && rejection.record.sinceMs() <= served.atMs() + CrashRules.SETTLE_MS) {
-      rejected.remove(served.request());
-      put(clearedMs, served);
+    put(lastAnsweredMs, answer);
+    leases.endStartedBefore(answer.request(), answer.atMs());
+    inconclusiveRuns.forget(answer.request(), answer.atMs());
+    history.removeRequest(answer.request(), answer.atMs());
+    Rejection rejection = rejected.get(answer.request());
+    if (rejection != null && rejection.record.sinceMs() <= answer.atMs() + CrashRules.SETTLE_MS) {
+      rejected.remove(answer.request());
+      put(clearedMs, answer);
     }
     refreshSuspects();
-    return CrashUpdate.of(served);
+    return CrashUpdate.of(answer);
   }
 
-  private static void put(Map<RequestFingerprint, Long> map, AnsweredRequest served) {
-    BoundedMaps.putLast(map, served.request(), served.atMs(), MAX_REJECTED);
+  private static void put(Map<RequestFingerprint, Long> map, AnsweredRequest answer) {
+    BoundedMaps.putLast(map, answer.request(), answer.atMs(), MAX_REJECTED);
   }
 
   /** Returns whether an arriving or waiting request is allowed, delayed or rejected. */
@@ -232,7 +232,8 @@
   public CrashUpdate recordInconclusiveRun(ExecutionLease lease) {
     leases.release(lease);
     boolean crashIsKnown =
-        history.crashesWith(lease.request()).stream().anyMatch(one -> one.atMs() >= lease.atMs());
+        history.crashesWith(lease.request()).stream()
+            .anyMatch(crash -> crash.atMs() >= lease.atMs());
     return crashIsKnown ? CrashUpdate.NONE : CrashUpdate.of(inconclusiveRuns.recordRun(lease));
   }
 
@@ -311,9 +312,12 @@
   /** Merges the update of another host; returns what was new here, to be forwarded. */
   public CrashUpdate merge(CrashUpdate update, long nowMs) {
     List<AnsweredRequest> answered =
-        update.answered().stream().filter(one -> !clear(one).isEmpty()).toList();
-    List<RejectedRequest> rejected =
-        update.rejected().stream().filter(this::isNew).map(one -> reject(one, nowMs)).toList();
+        update.answered().stream().filter(answer -> !clear(answer).isEmpty()).toList();
+    List<RejectedRequest> newlyRejected =
+        update.rejected().stream()
+            .filter(this::isNew)
+            .map(request -> reject(request, nowMs))
+            .toList();
     List<EndpointCrash> crashes = new ArrayList<>();
     for (EndpointCrash crash : update.crashes()) {
       EndpointCrash changed = history.covers(crash) ? null : add(crash, nowMs);
@@ -322,10 +326,10 @@
       }
     }
     List<ExecutionLease> newLeases =
-        update.leases().stream().filter(one -> leases.merge(one, nowMs)).toList();
+        update.leases().stream().filter(lease -> leases.merge(lease, nowMs)).toList();
     List<InconclusiveRuns> newRuns =
         update.inconclusiveRuns().stream().filter(this::mergeInconclusiveRuns).toList();
-    return new CrashUpdate(crashes, answered, rejected, newLeases, newRuns, update.hops() + 1);
+    return new CrashUpdate(crashes, answered, newlyRejected, newLeases, newRuns, update.hops() + 1);
   }
 
   private boolean mergeInconclusiveRuns(InconclusiveRuns received) {
@@ -337,8 +341,9 @@
   }
 
   private boolean isNew(RejectedRequest received) {
-    Long atMs = clearedMs.get(received.request());
-    boolean cleared = atMs != null && received.sinceMs() <= atMs + CrashRules.SETTLE_MS;
+    Long clearedAtMs = clearedMs.get(received.request());
+    boolean cleared =
+        clearedAtMs != null && received.sinceMs() <= clearedAtMs + CrashRules.SETTLE_MS;
     return !cleared && !rejected.containsKey(received.request());
   }
 
@@ -374,14 +379,14 @@
 
   private long computeDigest() {
     long sum = hashOf(rejected.keySet());
-    for (EndpointCrash crash : history.matching(one -> !rules.isExplained(one))) {
-      long start = crash.endpoint().host().hashCode() + crash.endpoint().incarnation();
-      sum += (1 + start) * (1 + hashOf(crash.requests()));
+    for (EndpointCrash crash : history.matching(known -> !rules.isExplained(known))) {
+      long endpointHash = crash.endpoint().host().hashCode() + crash.endpoint().incarnation();
+      sum += (1 + endpointHash) * (1 + hashOf(crash.requests()));
     }
     return sum;
   }
 
   private static long hashOf(Set<RequestFingerprint> requests) {
-    return requests.stream().mapToLong(one -> one.high() ^ one.low()).sum();
+    return requests.stream().mapToLong(request -> request.high() ^ request.low()).sum();
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/CrashRules.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/CrashRules.java
@@ -342,10 +342,10 @@
    */
   private static Set<RequestFingerprint> otherRequestsOnAll(
       RequestFingerprint request, List<EndpointCrash> crashes) {
-    Set<RequestFingerprint> all = new HashSet<>(crashes.get(0).requests());
-    crashes.forEach(crash -> all.retainAll(crash.requests()));
-    all.remove(request);
-    return all;
+    Set<RequestFingerprint> onAll = new HashSet<>(crashes.get(0).requests());
+    crashes.forEach(crash -> onAll.retainAll(crash.requests()));
+    onAll.remove(request);
+    return onAll;
   }
 
   /**
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/EndpointCrash.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/EndpointCrash.java
@@ -93,11 +93,11 @@
    * result would not be recognized as the crash that other hosts report.
    */
   EndpointCrash mergedWith(EndpointCrash other, Set<RequestFingerprint> allRequests) {
-    long endedMs = Math.min(atMs, other.atMs);
+    long crashedMs = Math.min(atMs, other.atMs);
     return new EndpointCrash(
         isEarlierIncarnation(other) ? other.endpoint : endpoint,
-        Math.min(Math.max(lastSentMs, other.lastSentMs), endedMs),
-        endedMs,
+        Math.min(Math.max(lastSentMs, other.lastSentMs), crashedMs),
+        crashedMs,
         allRequests);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/coordination/crash/ExecutionLeases.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/crash/ExecutionLeases.java
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Ends the lease of a request if it started no later than a time, because a result is known since
-   * then.
+   * Ends the lease of a request if it began at or before a time, because a result of the request is
+   * known from that time.
    */
   void endStartedBefore(RequestFingerprint request, long atMs) {
     ExecutionLease lease = leases.get(request);
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/EngineModelPlacement.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/EngineModelPlacement.java
@@ -107,12 +107,13 @@
     }
     List<EngineCandidate> candidates = candidates(query);
     List<List<SegmentCost>> segmentCosts = segmentCosts(query.facts(), candidates);
-    Plan now = cheapestPlan(query, segmentCosts, Dispatch.IMMEDIATE);
-    if (now == null
-        || now.options().size() > 1 && shouldWait(query, candidates, segmentCosts, now)) {
+    Plan immediate = cheapestPlan(query, segmentCosts, Dispatch.IMMEDIATE);
+    if (immediate == null
+        || immediate.options().size() > 1
+            && shouldWait(query, candidates, segmentCosts, immediate)) {
       return Optional.empty();
     }
-    return Optional.of(choice(query, candidates, now));
+    return Optional.of(choice(query, candidates, immediate));
   }
 
   /**
@@ -123,12 +124,14 @@
       Query query,
       List<EngineCandidate> candidates,
       List<List<SegmentCost>> segmentCosts,
-      Plan now) {
-    if (candidates.stream().noneMatch(one -> one.forecast().sharedMs() > MIN_WAIT_MS)) {
+      Plan immediate) {
+    if (candidates.stream().noneMatch(candidate -> candidate.forecast().sharedMs() > MIN_WAIT_MS)) {
       return false;
     }
-    Plan later = cheapestPlan(query, segmentCosts, Dispatch.DEFERRED);
-    return later != null && later.cost() < now.cost() && later.sharedMs() > MIN_WAIT_MS;
+    Plan deferred = cheapestPlan(query, segmentCosts, Dispatch.DEFERRED);
+    return deferred != null
+        && deferred.cost() < immediate.cost()
+        && deferred.sharedMs() > MIN_WAIT_MS;
   }
 
   /**
@@ -267,7 +270,7 @@
     return chosen;
   }
 
-  /** Returns the cost of an engine's segment for a time of sending. */
+  /** Returns the option of prefilling a segment on its engine, if it is sent at the given time. */
   private Option option(Query query, SegmentCost segmentCost, Dispatch dispatch) {
     EngineCandidate candidate = segmentCost.candidate();
     int engines = segmentCost.engines();
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementCosts.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementCosts.java
@@ -26,7 +26,8 @@
 
   /**
    * Returns the cost of a choice beyond its own latency and the harm to others: short prompts
-   * prefer engines that have some, long ones prefer the last engine in the order.
+   * prefer engines that already have streams with short prompts, long ones prefer the last engine
+   * in the order.
    */
   double orderCost(RequestFacts facts, EngineCandidate candidate) {
     if (isLong(facts)) {
--- a/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementWeights.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/engine/PlacementWeights.java
@@ -20,9 +20,9 @@
  * @param otherZoneMs the penalty for an endpoint in another zone, in milliseconds
  * @param slowLoss the fraction of its value that an answer loses if it takes as long as its target;
  *     below that, proportional to the square of the time
- * @param openingCost the cost of a short prompt on an engine that has none, in value
- * @param packingCost the cost of a short prompt on an engine without any, in value; proportional to
- *     the fraction of its slots without short prompts
+ * @param openingCost the cost of a short prompt on an engine that has no short prompts, in value
+ * @param packingCost the cost of a short prompt on an engine without other short prompts, in value;
+ *     proportional to the fraction of its slots without short prompts
  * @param mixedPrefillCost the cost of prefilling a segment on an engine that also decodes, in value
  * @param crowdingCost the cost of the last slots of an engine, which other hosts may use at the
  *     same instant, in value
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/FleetOverlay.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/FleetOverlay.java
@@ -12,8 +12,8 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * Maintains which daemons are alive, and with which of them this daemon exchanges reports, so that
- * each report reaches all daemons without a connection between every two of them.
+ * Tracks which daemons are alive, and selects those with which this daemon exchanges reports. Each
+ * report reaches all daemons without a connection between every two of them.
  *
  * <p>In each zone, the living daemon with the largest capacity is the zone leader. The other
  * daemons of the zone subscribe to it, and it forwards their reports to its subscribers and to the
@@ -128,9 +128,9 @@
 
   /** Removes daemons that were silent for too long. */
   public void expire(long nowMs) {
-    Iterator<DaemonState> all = daemons.values().iterator();
-    while (all.hasNext()) {
-      DaemonState daemon = all.next();
+    Iterator<DaemonState> iterator = daemons.values().iterator();
+    while (iterator.hasNext()) {
+      DaemonState daemon = iterator.next();
       long silentMs = daemon.silentMs(nowMs);
       if (daemon.isAlive() && silentMs > GONE_MS) {
         daemon.markGone();
@@ -138,7 +138,7 @@
         watcher.gone(daemon.member(), silentMs);
       }
       if (silentMs > FORGET_MS) {
-        all.remove();
+        iterator.remove();
       }
     }
   }
--- a/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneMembership.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/membership/ZoneMembership.java
@@ -25,7 +25,7 @@
   private final String zone;
   private final MembershipSettings settings;
   private final Map<String, Peer> peers = new HashMap<>();
-  private final Map<String, EntryHost> setEntryHosts = new TreeMap<>();
+  private final Map<String, EntryHost> entryHosts = new TreeMap<>();
   private final List<HostAddress> seeds;
   private long nextInZoneMs = Long.MIN_VALUE;
   private long nextOtherZonesMs = Long.MIN_VALUE;
@@ -65,11 +65,11 @@
   }
 
   /** Replaces the entry hosts that the platform lists. */
-  public void setEntryHosts(List<EntryHost> entryHosts) {
-    setEntryHosts.clear();
-    for (EntryHost host : entryHosts) {
+  public void setEntryHosts(List<EntryHost> listed) {
+    entryHosts.clear();
+    for (EntryHost host : listed) {
       if (!host.name().equals(self.host())) {
-        setEntryHosts.put(host.name(), host);
+        entryHosts.put(host.name(), host);
       }
     }
   }
@@ -159,12 +159,12 @@
         addresses.add(peer.facts.address());
       }
     }
-    for (EntryHost host : setEntryHosts.values()) {
+    for (EntryHost host : entryHosts.values()) {
       if (host.zone().equals(zone) && !peers.containsKey(host.name())) {
         addresses.add(host.peerAddress());
       }
     }
-    if (setEntryHosts.isEmpty()) {
+    if (entryHosts.isEmpty()) {
       addresses.addAll(seeds);
     }
     return addresses;
@@ -172,14 +172,14 @@
 
   private Set<HostAddress> otherZoneAddresses() {
     Map<String, List<HostAddress>> byZone = new TreeMap<>();
-    for (EntryHost host : setEntryHosts.values()) {
+    for (EntryHost host : entryHosts.values()) {
       if (!host.zone().equals(zone)) {
         byZone.computeIfAbsent(host.zone(), name -> new ArrayList<>()).add(host.peerAddress());
       }
     }
     for (Peer peer : peers.values()) {
       boolean otherZone = !peer.facts.zone().equals(zone);
-      if (otherZone && !setEntryHosts.containsKey(peer.facts.identity().host())) {
+      if (otherZone && !entryHosts.containsKey(peer.facts.identity().host())) {
         byZone
             .computeIfAbsent(peer.facts.zone(), name -> new ArrayList<>())
             .add(peer.facts.address());
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
@@ -14,8 +14,8 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * Decides for one host whether a call that may not be repeated may run here. Takes events with
- * their time and returns actions. Confined to one thread; reads no clock.
+ * Decides for one host whether a call that may not be repeated may run here. Takes timestamped
+ * events and returns actions. Confined to one thread; reads no clock.
  */
 public final class ClaimCoordinator {
   /** Maximum time to wait for the answers of other hosts, in milliseconds. */
@@ -40,7 +40,7 @@
     }
   }
 
-  /** What the caller states about earlier sendings of the same call. */
+  /** What the caller states about earlier sendings of a call. */
   public enum Sending {
     /** The caller counts its sendings, and this is the first. */
     FIRST,
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimMembers.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimMembers.java
@@ -21,7 +21,7 @@
   private final HostIdentity self;
   private final Map<HostIdentity, Member> members = new HashMap<>();
   private final Map<String, Long> latestIncarnations = new HashMap<>();
-  private final Set<HostIdentity> retire = new LinkedHashSet<>();
+  private final Set<HostIdentity> retired = new LinkedHashSet<>();
 
   /**
    * A registered incarnation; {@code goneMs} is when it was found to be gone, -1 while it is not.
@@ -49,7 +49,7 @@
    */
   public void register(HostIdentity identity, HostAddress address, long nowMs) {
     // An old snapshot may still contain a host that has retired since.
-    if (retire.contains(identity)) {
+    if (retired.contains(identity)) {
       return;
     }
     members.putIfAbsent(identity, new Member(address));
@@ -70,9 +70,9 @@
   /** Removes an incarnation that handed its keys over and no longer runs calls. */
   public void retire(HostIdentity identity) {
     members.remove(identity);
-    retire.add(identity);
-    if (retire.size() > MAX_RETIRED) {
-      retire.remove(retire.iterator().next());
+    retired.add(identity);
+    if (retired.size() > MAX_RETIRED) {
+      retired.remove(retired.iterator().next());
     }
   }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/EndpointRestartTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/EndpointRestartTest.java
@@ -34,7 +34,7 @@
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
   private static final CallerGroup GROUP = new CallerGroup("desk", "ask");
   private static final HostIdentity PEER = new HostIdentity("host-2", 1);
-  private static final LatencyTargets AIMS = new LatencyTargets(2_500, 1_000, 2);
+  private static final LatencyTargets TARGETS = new LatencyTargets(2_500, 1_000, 2);
 
   private final EndpointRegistry registry = new EndpointRegistry(new RequestedBackoffs());
   private final EngineWork engineWork =
@@ -74,7 +74,7 @@
 
   private static EngineJob job(long id, long incarnation) {
     return new EngineJob(
-        id, new HostIdentity("e-1", incarnation), 50_000, 50_000, 1, true, AIMS, 0);
+        id, new HostIdentity("e-1", incarnation), 50_000, 50_000, 1, true, TARGETS, 0);
   }
 
   private void applyUpdate(EngineUpdate update) {
@@ -179,8 +179,8 @@
     assertEquals(1, eligibility.eligible().size());
   }
 
-  private static HostListing listing(long version, Endpoint endpoint, Set<HostIdentity> leaving) {
-    return new HostListing(version, List.of(endpoint), leaving, List.of());
+  private static HostListing listing(long version, Endpoint endpoint, Set<HostIdentity> draining) {
+    return new HostListing(version, List.of(endpoint), draining, List.of());
   }
 
   @Test
@@ -208,7 +208,7 @@
         0,
         repeatable,
         List.of(),
-        AIMS);
+        TARGETS);
   }
 
   private Action.Send sent() {
@@ -232,7 +232,8 @@
     HostIdentity superseded = new HostIdentity(restarted, 1);
     actions.addAll(coordinator.endpointsRestarted(superseded::equals, 50));
     actions.removeIf(
-        one -> one instanceof Action.RecordDecision || one instanceof Action.BroadcastWork);
+        action ->
+            action instanceof Action.RecordDecision || action instanceof Action.BroadcastWork);
   }
 
   @Test
@@ -275,7 +276,7 @@
   }
 
   @Test
-  void isRetriedWhenAHelperHoldingMemoryRestarts() {
+  void attemptIsRetriedWhenAHelperHoldingMemoryRestarts() {
     arrive(300_000, true, "e-1", "e-2");
     String helper = sent().helpers().get(0).endpoint().name();
     actions.addAll(coordinator.attemptEvent(sent().attempt(), AttemptEvent.ANSWERING, 40));
@@ -284,7 +285,7 @@
   }
 
   @Test
-  void continuesWhenAHelperRestartsAfterPrefill() {
+  void attemptContinuesWhenAHelperRestartsAfterPrefill() {
     String[] engines = {"e-1", "e-2", "e-3", "e-4"};
     arrive(200_000, true, engines);
     List<Action.Helper> helpers = sent().helpers();
--- a/org.fawndrum/tst/org/fawndrum/coordination/LostAttemptsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/LostAttemptsTest.java
@@ -24,7 +24,7 @@
   private static final long RUN_MS = 50;
 
   private final LostAttempts lostAttempts = new LostAttempts();
-  private final CrashRegistry crashLedger = new CrashRegistry(new HostIdentity("host-1", 1));
+  private final CrashRegistry registry = new CrashRegistry(new HostIdentity("host-1", 1));
   private long nowMs = 1_000_000;
 
   private static final NumberedContent DEADLY = new NumberedContent(1);
@@ -36,19 +36,19 @@
 
   private void advance(long ms) {
     nowMs += ms;
-    crashLedger.decide(nowMs);
+    registry.decide(nowMs);
   }
 
   private void crash(HostIdentity endpoint) {
-    crashLedger.recordCrash(endpoint, DEADLY.computeFingerprint(), nowMs - RUN_MS, nowMs);
+    registry.recordCrash(endpoint, DEADLY.computeFingerprint(), nowMs - RUN_MS, nowMs);
   }
 
-  private void startIsOver() {
+  private void incarnationSuperseded() {
     lostAttempts
         .takeSuperseded(ENGINE::equals, nowMs)
         .forEach(
             attempt ->
-                crashLedger.recordIncarnationEnd(
+                registry.recordIncarnationEnd(
                     attempt.endpoint(),
                     attempt.content().fingerprint().orElseThrow(),
                     attempt.sentMs(),
@@ -68,13 +68,13 @@
     loseConnection(OTHER);
     advance(3_000);
     crash(ENGINE);
-    startIsOver();
+    incarnationSuperseded();
     for (int i = 0; i < 2; i++) {
       advance(LATER_MS);
       crash(new HostIdentity("f-" + i, 1));
     }
     advance(LATER_MS);
-    assertEquals(CrashVerdict.REJECTED, crashLedger.verdict(DEADLY, nowMs));
+    assertEquals(CrashVerdict.REJECTED, registry.verdict(DEADLY, nowMs));
   }
 
   @Test
@@ -82,9 +82,9 @@
     loseConnection(OTHER);
     advance(LATER_MS);
     loseConnection(DEADLY);
-    startIsOver();
-    assertEquals(1, crashLedger.fullUpdate().crashes().size());
-    assertEquals(nowMs, crashLedger.fullUpdate().crashes().get(0).atMs());
+    incarnationSuperseded();
+    assertEquals(1, registry.fullUpdate().crashes().size());
+    assertEquals(nowMs, registry.fullUpdate().crashes().get(0).atMs());
   }
 
   @Test
@@ -93,18 +93,18 @@
       HostIdentity engine = new HostIdentity("e-" + i, 1);
       lostAttempts.add(new LostAttempts.LostAttempt(DEADLY, engine, nowMs - RUN_MS, nowMs));
       advance(LATER_MS);
-      assertNotEquals(CrashVerdict.REJECTED, crashLedger.verdict(DEADLY, nowMs));
+      assertNotEquals(CrashVerdict.REJECTED, registry.verdict(DEADLY, nowMs));
       lostAttempts
           .takeSuperseded(engine::equals, nowMs)
           .forEach(
               attempt ->
-                  crashLedger.recordIncarnationEnd(
+                  registry.recordIncarnationEnd(
                       attempt.endpoint(),
                       DEADLY.computeFingerprint(),
                       attempt.sentMs(),
                       attempt.atMs()));
       advance(LATER_MS);
     }
-    assertEquals(CrashVerdict.REJECTED, crashLedger.verdict(DEADLY, nowMs));
+    assertEquals(CrashVerdict.REJECTED, registry.verdict(DEADLY, nowMs));
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/coordination/RequestedBackoffsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/RequestedBackoffsTest.java
@@ -77,7 +77,7 @@
   }
 
   /** Handles a new request. Returns the send action, if any. */
-  private Optional<Action.Send> arrive(long promptTokens, LatencyTargets aims, long nowMs) {
+  private Optional<Action.Send> arrive(long promptTokens, LatencyTargets targets, long nowMs) {
     RequestFacts facts =
         new RequestFacts(
             "r-" + ++requestCount,
@@ -89,7 +89,7 @@
             0,
             true,
             List.of(),
-            aims);
+            targets);
     actions.clear();
     actions.addAll(coordinator.arrive(facts, nowMs));
     return sent();
@@ -246,15 +246,15 @@
   @Test
   void endpointInBackoffIsNotAHelper() {
     HostIdentity third = new HostIdentity("e-3", 1);
-    LatencyTargets aims = new LatencyTargets(2_500, 1_000, 4);
+    LatencyTargets targets = new LatencyTargets(2_500, 1_000, 4);
     coordinator.updateEndpoints(engines(FIRST, SECOND, third, new HostIdentity("e-4", 1)), 0);
-    Action.Send all = arrive(200_000, aims, 0).orElseThrow();
-    assertTrue(participants(all).contains(third), () -> "prefilled by " + participants(all));
-    coordinator.attemptEvent(all.attempt(), AttemptEvent.ANSWERED, 900);
+    Action.Send first = arrive(200_000, targets, 0).orElseThrow();
+    assertTrue(participants(first).contains(third), () -> "prefilled by " + participants(first));
+    coordinator.attemptEvent(first.attempt(), AttemptEvent.ANSWERED, 900);
     backoffs.requested(third, BACKOFF_MS, 1_000);
-    Action.Send others = arrive(200_000, aims, 1_000).orElseThrow();
-    assertFalse(participants(others).contains(third));
-    assertFalse(others.helpers().isEmpty(), "prefilled by one engine");
+    Action.Send second = arrive(200_000, targets, 1_000).orElseThrow();
+    assertFalse(participants(second).contains(third));
+    assertFalse(second.helpers().isEmpty(), "prefilled by one engine");
   }
 
   private void allInBackoff(long backoffMs) {
--- a/org.fawndrum/tst/org/fawndrum/coordination/SuspectedRequestsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/SuspectedRequestsTest.java
@@ -31,7 +31,7 @@
   private static final EngineProfile PROFILE =
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
   private static final CallerGroup GROUP = new CallerGroup("desk", "ask");
-  private static final LatencyTargets AIMS = new LatencyTargets(300, 250, 2);
+  private static final LatencyTargets TARGETS = new LatencyTargets(300, 250, 2);
 
   /**
    * Time after which a crashed endpoint is back and no longer in failure backoff, in milliseconds.
@@ -84,7 +84,7 @@
                 0,
                 true,
                 List.of(),
-                AIMS,
+                TARGETS,
                 new NumberedContent(content)),
             nowMs));
   }
@@ -140,10 +140,10 @@
     twoCrashesElsewhere(1);
     Action.Send send = sent(arrive("r-1", 1));
     assertEquals(List.of(), crashEndpoint(send), "sent again before the crash has settled");
-    Refusal end = refused(advance());
-    assertEquals(RefusalKind.ENDS_ENDPOINTS, end.kind());
-    assertEquals(Ran.UNKNOWN, end.ran());
-    assertEquals(Refusal.NEVER, end.retryAfterMs());
+    Refusal first = refused(advance());
+    assertEquals(RefusalKind.ENDS_ENDPOINTS, first.kind());
+    assertEquals(Ran.UNKNOWN, first.ran());
+    assertEquals(Refusal.NEVER, first.retryAfterMs());
     Refusal next = refused(arrive("r-2", 1));
     assertEquals(RefusalKind.ENDS_ENDPOINTS, next.kind());
     assertEquals(Ran.NO, next.ran());
--- a/org.fawndrum/tst/org/fawndrum/coordination/SweepRuleTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/SweepRuleTest.java
@@ -79,7 +79,7 @@
   }
 
   @Property(tries = 500, seed = "82")
-  void eachDutyHasOneOwnerAndMovesOnlyWhenItsHostIsGone(@ForAll long seed) {
+  void eachTaskHasOneOwnerAndMovesOnlyWhenItsHostIsGone(@ForAll long seed) {
     Random random = new Random(seed);
     Set<String> hosts = new HashSet<>();
     while (hosts.size() < 6) {
@@ -90,13 +90,13 @@
     hosts.remove(gone);
     Map<String, String> after = owners(hosts);
     before.forEach(
-        (duty, host) -> assertTrue(host.equals(gone) || host.equals(after.get(duty)), duty));
+        (task, host) -> assertTrue(host.equals(gone) || host.equals(after.get(task)), task));
   }
 
   private static Map<String, String> owners(Set<String> hosts) {
     Map<String, String> owners = new HashMap<>();
-    for (int duty = 0; duty < 40; duty++) {
-      String name = "engine-" + duty;
+    for (int task = 0; task < 40; task++) {
+      String name = "engine-" + task;
       for (String host : hosts) {
         Set<String> otherHosts = new HashSet<>(hosts);
         otherHosts.remove(host);
--- a/org.fawndrum/tst/org/fawndrum/coordination/WeightedFairOrderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/WeightedFairOrderTest.java
@@ -40,8 +40,8 @@
     for (int i = 0; i < 3_000; i++) {
       int next = 0;
       for (int group = 1; group < weights.length; group++) {
-        double place = order.sortKey(request("w" + group, 1), weights[group], false);
-        next = place < order.sortKey(request("w" + next, 1), weights[next], false) ? group : next;
+        double sortKey = order.sortKey(request("w" + group, 1), weights[group], false);
+        next = sortKey < order.sortKey(request("w" + next, 1), weights[next], false) ? group : next;
       }
       long tokens = 1 + random.nextInt(1_000);
       order.dispatched(request("w" + next, tokens), weights[next]);
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashFleet.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashFleet.java
@@ -160,8 +160,8 @@
   }
 
   /**
-   * If updates may be late, a host takes their times for later ones than they are, and forwards
-   * what is new to it.
+   * If updates may be late, a host receives them with times shifted by the delay, and forwards what
+   * is new to it.
    */
   private void receive(int host, CrashUpdate update, long delayMs) {
     if (cut[host]) {
@@ -250,9 +250,9 @@
 
   private void decide(int host) {
     registries[host].allHostsReporting(!anyHostSilent());
-    List<RejectedRequest> refused = registries[host].decide(nowMs);
-    if (!refused.isEmpty()) {
-      broadcast(host, CrashUpdate.ofRejected(refused));
+    List<RejectedRequest> rejected = registries[host].decide(nowMs);
+    if (!rejected.isEmpty()) {
+      broadcast(host, CrashUpdate.ofRejected(rejected));
     }
   }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashIdentityTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashIdentityTest.java
@@ -135,9 +135,9 @@
       for (int i = 0; i < 30; i++) {
         HostIdentity endpoint = new HostIdentity("e-" + random.nextInt(2), random.nextInt(4));
         TestContent request = new TestContent(random.nextInt(5));
-        long endedMs = nowMs - random.nextInt(3_000);
+        long crashedMs = nowMs - random.nextInt(3_000);
         host.recordCrash(
-            endpoint, request.knownFingerprint(), endedMs - random.nextInt(800), endedMs);
+            endpoint, request.knownFingerprint(), crashedMs - random.nextInt(800), crashedMs);
       }
       assertTrue(host.merge(host.fullUpdate(), nowMs).isEmpty(), "seed " + seed);
     }
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashRegistryTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashRegistryTest.java
@@ -146,11 +146,11 @@
   void timeOfSendingMayBeLateByTheTransportDelay() {
     HostIdentity endpoint = new HostIdentity("e-1", 1);
     for (int i = 0; i < 3; i++) {
-      long endedMs = nowMs;
-      registry.recordCrash(endpoint, DEADLY.knownFingerprint(), endedMs - 50, endedMs);
+      long crashedMs = nowMs;
+      registry.recordCrash(endpoint, DEADLY.knownFingerprint(), crashedMs - 50, crashedMs);
       advance(CrashRules.SETTLE_MS);
       // Another host observed the same crash, and had sent the request just before it.
-      registry.recordCrash(endpoint, DEADLY.knownFingerprint(), endedMs + 100, nowMs);
+      registry.recordCrash(endpoint, DEADLY.knownFingerprint(), crashedMs + 100, nowMs);
     }
     settle();
     assertEquals(CrashVerdict.ALLOWED, verdict(DEADLY));
@@ -294,16 +294,17 @@
   void crashesObservedByDifferentHostsAddUp() {
     CrashRegistry second = new CrashRegistry(HOST);
     CrashRegistry third = new CrashRegistry(HOST);
-    CrashUpdate one =
+    CrashUpdate firstCrash =
         registry.recordCrash(new HostIdentity("e-1", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs);
-    CrashUpdate two =
+    CrashUpdate secondCrash =
         second.recordCrash(
             new HostIdentity("e-2", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs + 300);
-    CrashUpdate three =
+    CrashUpdate thirdCrash =
         second.recordCrash(
             new HostIdentity("e-3", 1), DEADLY.knownFingerprint(), SENT_MS, nowMs + 600);
     // Late, in another order, and twice.
-    List.of(three, one, two, one, three).forEach(update -> third.merge(update, nowMs + 700));
+    List.of(thirdCrash, firstCrash, secondCrash, firstCrash, thirdCrash)
+        .forEach(update -> third.merge(update, nowMs + 700));
     third.decide(nowMs + 900);
     assertEquals(CrashVerdict.REJECTED, third.verdict(DEADLY, nowMs + 900));
   }
@@ -370,13 +371,13 @@
   @Test
   void memoryIsBounded() {
     for (int i = 0; i < 10_000; i++) {
-      for (int one = 0; one < 4; one++) {
-        crash("e-" + i, new TestContent(10 + 4 * i + one));
+      for (int request = 0; request < 4; request++) {
+        crash("e-" + i, new TestContent(10 + 4 * i + request));
       }
       advance(1);
     }
-    CrashUpdate all = registry.fullUpdate();
-    assertTrue(all.crashes().size() <= CrashHistory.MAX_CRASHES);
+    CrashUpdate update = registry.fullUpdate();
+    assertTrue(update.crashes().size() <= CrashHistory.MAX_CRASHES);
     for (int i = 0; i < 1_000; i++) {
       TestContent deadly = new TestContent(1_000_000 + i);
       for (int time = 0; time < CrashRules.MIN_CRASHES_WHEN_AMBIGUOUS; time++) {
--- a/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashSpreadTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/crash/CrashSpreadTest.java
@@ -56,8 +56,8 @@
   /** About forty innocent requests a second, each with a body of its own. */
   private static void sendInnocents(CrashFleet fleet) {
     for (long atMs = 1; atMs < LENGTH_MS; atMs += 25) {
-      TestContent one = new TestContent(1_000 + atMs);
-      fleet.at(atMs, () -> fleet.send(one, false, fleet.anyHost()));
+      TestContent request = new TestContent(1_000 + atMs);
+      fleet.at(atMs, () -> fleet.send(request, false, fleet.anyHost()));
     }
   }
 
@@ -114,8 +114,8 @@
           fleet.at(4_000, () -> fleet.cut(0, true));
           fleet.at(9_000, () -> fleet.cut(0, false));
           for (int host = 1; host < CrashFleet.HOSTS; host++) {
-            int one = host;
-            fleet.at(6_000 + 3_000L * one, () -> fleet.restart(one));
+            int restarted = host;
+            fleet.at(6_000 + 3_000L * restarted, () -> fleet.restart(restarted));
           }
           fleet.runTo(LENGTH_MS);
           check(fleet, DEADLY, seed);
@@ -147,8 +147,8 @@
   /** Repeats several requests at the same times, while single engines crash for other causes. */
   private static void sendTogether(CrashFleet fleet, long gapMs, TestContent... requests) {
     sendInnocents(fleet);
-    for (TestContent one : requests) {
-      repeat(fleet, one, 5_000, gapMs);
+    for (TestContent request : requests) {
+      repeat(fleet, request, 5_000, gapMs);
     }
     for (long atMs = 4_000; atMs < LENGTH_MS; atMs += 20_000) {
       fleet.at(atMs, () -> fleet.crashTogether(1));
@@ -175,8 +175,8 @@
   }
 
   /**
-   * The same while one of three hosts is frozen, which raises the required number of crashes to
-   * six.
+   * Guards against the same failure while one of three hosts is frozen, which raises the required
+   * number of crashes to six.
    */
   @Test
   void twoRequestsAreDetectedWhileAHostIsFrozen() {
@@ -217,8 +217,8 @@
   }
 
   /**
-   * Guards against a request that runs on without end because it is on engines behind faulty links,
-   * whose crashes no host can prove and where its runs were no evidence.
+   * Guards against a request that is run again and again at engines behind faulty links: no host
+   * can prove their crashes, and runs without an answer were no evidence.
    */
   @Test
   void twoRequestsAreDetectedBehindFaultyLinks() {
@@ -262,8 +262,8 @@
   }
 
   /**
-   * The same with four requests and more engines, so rare that the three seconds allowed for
-   * detection make no difference.
+   * Four requests that arrive at the same times in a larger fleet are all detected. They arrive so
+   * rarely that the three seconds allowed for detection make no difference.
    */
   @Test
   void fourRareRequestsAreDetected() {
@@ -273,8 +273,8 @@
           CrashFleet fleet = new CrashFleet(seed);
           sendTogether(fleet, 1_700, four);
           fleet.runTo(LENGTH_MS);
-          for (TestContent one : four) {
-            check(fleet, one, seed);
+          for (TestContent request : four) {
+            check(fleet, request, seed);
           }
           assertEquals(0, fleet.innocentsRejected(), "seed " + seed);
         });
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineForecastTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineForecastTest.java
@@ -70,9 +70,9 @@
     int segments = random.nextInt(3) == 0 ? 2 + random.nextInt(4) : 1;
     boolean decodes = segments == 1 || random.nextBoolean();
     long prompt = PROMPTS[random.nextInt(PROMPTS.length)];
-    LatencyTargets aims = new LatencyTargets(300, random.nextBoolean() ? 250 : 0, 2);
+    LatencyTargets targets = new LatencyTargets(300, random.nextBoolean() ? 250 : 0, 2);
     long sentMs = Math.max(0, nowMs - random.nextInt(30));
-    return new EngineJob(id, ENGINE, prompt, prompt, segments, decodes, aims, sentMs);
+    return new EngineJob(id, ENGINE, prompt, prompt, segments, decodes, targets, sentMs);
   }
 
   private void add(EngineJob job, long nowMs) {
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineLoadTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineLoadTest.java
@@ -21,7 +21,7 @@
   private static final EngineProfile PROFILE =
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
   private static final HostIdentity ENGINE = new HostIdentity("e", 0);
-  private static final LatencyTargets AIMS = new LatencyTargets(300, 250, 2);
+  private static final LatencyTargets TARGETS = new LatencyTargets(300, 250, 2);
   private static final long LONG_TOKENS = 25_000;
 
   /** The decode steps of an iteration with one stream, rounded up, in milliseconds. */
@@ -30,11 +30,11 @@
   private final EngineLoad load = new EngineLoad(PROFILE);
 
   private static EngineJob job(long id, long tokens, int segments, long sentMs) {
-    return new EngineJob(id, ENGINE, tokens, tokens + 100, segments, true, AIMS, sentMs);
+    return new EngineJob(id, ENGINE, tokens, tokens + 100, segments, true, TARGETS, sentMs);
   }
 
   private static EngineJob helperJob(long id, long tokens, int segments, long sentMs) {
-    return new EngineJob(id, ENGINE, tokens, 0, segments, false, AIMS, sentMs);
+    return new EngineJob(id, ENGINE, tokens, 0, segments, false, TARGETS, sentMs);
   }
 
   private static EngineForecast.PrefillWork segment(long promptTokens, int segments) {
@@ -50,7 +50,7 @@
   @Property(seed = "99", tries = 300)
   void nothingRemainsAfterAnyOrderOfEvents(
       @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 29) Integer> steps) {
-    EngineLoad any = new EngineLoad(PROFILE);
+    EngineLoad tested = new EngineLoad(PROFILE);
     List<Long> ids = new ArrayList<>();
     long nowMs = 0;
     for (int step : steps) {
@@ -58,24 +58,24 @@
       long id = step / 3;
       switch (step % 3) {
         case 0 -> {
-          any.add(job(id, 1_000 * (id + 1), 1 + (int) (id % 3), nowMs), nowMs);
+          tested.add(job(id, 1_000 * (id + 1), 1 + (int) (id % 3), nowMs), nowMs);
           ids.add(id);
         }
-        case 1 -> any.recordFirstToken(id, nowMs);
-        default -> any.remove(id, nowMs);
+        case 1 -> tested.recordFirstToken(id, nowMs);
+        default -> tested.remove(id, nowMs);
       }
-      EngineForecast forecast = any.forecast(LONG_TOKENS, nowMs);
+      EngineForecast forecast = tested.forecast(LONG_TOKENS, nowMs);
       assertTrue(forecast.iterationRemainingMs() >= 0 && forecast.waiting().ms() >= 0);
       assertTrue(forecast.singleEngineMs(segment(1_000, 1)) > 0 && forecast.sharedMs() >= 0);
-      assertTrue(any.slowness(nowMs) >= 1);
+      assertTrue(tested.slowness(nowMs) >= 1);
     }
     for (long id : ids) {
-      any.remove(id, nowMs);
+      tested.remove(id, nowMs);
     }
-    assertEquals(0, any.jobCount());
-    assertEquals(0, any.memoryTokens());
-    assertEquals(0, any.forecast(LONG_TOKENS, nowMs).waiting().ms());
-    assertEquals(0, any.forecast(LONG_TOKENS, nowMs + 60_000).iterationRemainingMs());
+    assertEquals(0, tested.jobCount());
+    assertEquals(0, tested.memoryTokens());
+    assertEquals(0, tested.forecast(LONG_TOKENS, nowMs).waiting().ms());
+    assertEquals(0, tested.forecast(LONG_TOKENS, nowMs + 60_000).iterationRemainingMs());
   }
 
   @Test
@@ -113,7 +113,7 @@
     load.add(job(2, 50_000, 1, 80), 80);
     load.add(job(3, 50_000, 1, 80), 80);
     // The next iteration prefills them, so the first stream has paused for too long.
-    assertFalse(forecast(200).unpausedStreams().stream().anyMatch(one -> one.id() == 1));
+    assertFalse(forecast(200).unpausedStreams().stream().anyMatch(job -> job.id() == 1));
   }
 
   @Test
@@ -133,7 +133,7 @@
     iterations.add(job(2, 20_000, 1, 101), 101);
     iterations.add(helperJob(3, 60_000, 3, 102), 102);
     iterations.add(helperJob(4, 60_000, 3, 103), 103);
-    List<Long> order = iterations.waiting().stream().map(one -> one.job.id()).toList();
+    List<Long> order = iterations.waiting().stream().map(entry -> entry.job.id()).toList();
     assertEquals(List.of(4L, 3L, 2L), order);
   }
 
@@ -187,7 +187,7 @@
     load.add(helperJob(3, 200_000, 4, 72), 72);
     double wholeMs = forecast(72).sharedMs();
     // Both are scheduled in the next iteration; the first token of one shows that the other was not
-    // segment of it.
+    // part of it.
     load.recordFirstToken(2, 200);
     assertTrue(forecast(200).sharedMs() > wholeMs / 2, forecast(200) + " of " + wholeMs);
   }
@@ -210,17 +210,18 @@
   /** Operators may leave figures out; the simulation must still reach the present. */
   @Test
   void engineWithoutStepFiguresStillHasIterations() {
-    EngineLoad odd = new EngineLoad(new EngineProfile(11, 232_000, 0, 0, 0, 0, 206, 0, 0, 0));
-    odd.add(job(1, 1_000, 1, 0), 0);
-    odd.recordFirstToken(1, 10);
-    odd.add(job(2, 1_000, 1, 20), 20);
-    assertEquals(2, odd.forecast(LONG_TOKENS, 1_000).streams());
+    EngineLoad incomplete =
+        new EngineLoad(new EngineProfile(11, 232_000, 0, 0, 0, 0, 206, 0, 0, 0));
+    incomplete.add(job(1, 1_000, 1, 0), 0);
+    incomplete.recordFirstToken(1, 10);
+    incomplete.add(job(2, 1_000, 1, 20), 20);
+    assertEquals(2, incomplete.forecast(LONG_TOKENS, 1_000).streams());
   }
 
   @Test
   void plainServiceJobsAreOnlyCounted() {
     EngineLoad plain = new EngineLoad(null);
-    plain.add(new EngineJob(1, ENGINE, 0, 0, 1, true, AIMS, 0), 0);
+    plain.add(new EngineJob(1, ENGINE, 0, 0, 1, true, TARGETS, 0), 0);
     plain.recordFirstToken(1, 10);
     assertEquals(1, plain.jobCount());
     plain.remove(1, 20);
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineModelPlacementTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/EngineModelPlacementTest.java
@@ -42,8 +42,8 @@
       new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075);
   private static final HostIdentity SELF = new HostIdentity("host-1", 1);
   private static final CallerGroup GROUP = new CallerGroup("desk", "ask");
-  private static final LatencyTargets SHORT_AIMS = new LatencyTargets(300, 250, 2);
-  private static final LatencyTargets LONG_AIMS = new LatencyTargets(2_500, 1_000, 2);
+  private static final LatencyTargets SHORT_TARGETS = new LatencyTargets(300, 250, 2);
+  private static final LatencyTargets LONG_TARGETS = new LatencyTargets(2_500, 1_000, 2);
 
   private boolean byZone;
   private Set<String> silentZones = Set.of();
@@ -80,7 +80,7 @@
     coordinator.updateEndpoints(engines, 0);
   }
 
-  private Optional<Action.Send> sendRequest(long promptTokens, LatencyTargets aims, long nowMs) {
+  private Optional<Action.Send> sendRequest(long promptTokens, LatencyTargets targets, long nowMs) {
     RequestFacts facts =
         new RequestFacts(
             "r-" + nextRequest++,
@@ -92,7 +92,7 @@
             0,
             true,
             List.of(),
-            aims);
+            targets);
     return sends(coordinator.arrive(facts, nowMs)).stream().findFirst();
   }
 
@@ -103,12 +103,12 @@
   @Test
   void shortAndLongPromptsUseDifferentEngines() {
     engines(6);
-    Action.Send first = sendRequest(5_000, SHORT_AIMS, 0).orElseThrow();
+    Action.Send first = sendRequest(5_000, SHORT_TARGETS, 0).orElseThrow();
     firstToken(first, 80);
-    Action.Send longOne = sendRequest(120_000, LONG_AIMS, 100).orElseThrow();
-    assertNotEquals(first.endpoint(), longOne.endpoint());
-    Action.Send second = sendRequest(5_000, SHORT_AIMS, 120).orElseThrow();
-    assertNotEquals(longOne.endpoint(), second.endpoint());
+    Action.Send longPrompt = sendRequest(120_000, LONG_TARGETS, 100).orElseThrow();
+    assertNotEquals(first.endpoint(), longPrompt.endpoint());
+    Action.Send second = sendRequest(5_000, SHORT_TARGETS, 120).orElseThrow();
+    assertNotEquals(longPrompt.endpoint(), second.endpoint());
   }
 
   @Test
@@ -116,48 +116,49 @@
     byZone = true;
     engines(6, 4);
     for (int i = 0; i < 2 * PROFILE.slots(); i++) {
-      assertEquals("zone-a", sendRequest(1_000, SHORT_AIMS, i).orElseThrow().endpoint().zone());
+      assertEquals("zone-a", sendRequest(1_000, SHORT_TARGETS, i).orElseThrow().endpoint().zone());
     }
-    assertEquals("zone-b", sendRequest(1_000, SHORT_AIMS, 100).orElseThrow().endpoint().zone());
+    assertEquals("zone-b", sendRequest(1_000, SHORT_TARGETS, 100).orElseThrow().endpoint().zone());
   }
 
   @Test
   void largeFleetsUseOtherZonesForAZoneWithoutEngines() {
     byZone = true;
     engines(3, 3);
-    assertEquals("zone-b", sendRequest(1_000, SHORT_AIMS, 0).orElseThrow().endpoint().zone());
+    assertEquals("zone-b", sendRequest(1_000, SHORT_TARGETS, 0).orElseThrow().endpoint().zone());
   }
 
   @Test
   void silentZoneDoesNotShareAPrefill() {
     engines(8, 4);
     silentZones = Set.of("zone-b");
-    Action.Send send = sendRequest(200_000, LONG_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(200_000, LONG_TARGETS, 0).orElseThrow();
     assertEquals("zone-a", send.endpoint().zone());
     assertEquals(3, send.helpers().size());
-    assertTrue(send.helpers().stream().allMatch(one -> one.endpoint().zone().equals("zone-a")));
+    assertTrue(
+        send.helpers().stream().allMatch(helper -> helper.endpoint().zone().equals("zone-a")));
   }
 
   @Test
   void silentZoneServesIfThereIsNoOtherEngine() {
     engines(3, 3);
     silentZones = Set.of("zone-b");
-    assertEquals("zone-b", sendRequest(1_000, SHORT_AIMS, 0).orElseThrow().endpoint().zone());
+    assertEquals("zone-b", sendRequest(1_000, SHORT_TARGETS, 0).orElseThrow().endpoint().zone());
   }
 
   @Test
   void updatesNameTheZoneOfTheirEndpoint() {
     engines(1, 1);
-    Action.Send send = sendRequest(1_000, SHORT_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(1_000, SHORT_TARGETS, 0).orElseThrow();
     List<Action> afterFirstToken =
         coordinator.attemptEvent(send.attempt(), AttemptEvent.ANSWERING, 50);
     List<Action> afterCompletion =
         coordinator.attemptEvent(send.attempt(), AttemptEvent.ANSWERED, 90);
-    assertEquals(List.of("zone-b"), announcedZones(afterFirstToken));
-    assertEquals(List.of("zone-b"), announcedZones(afterCompletion));
+    assertEquals(List.of("zone-b"), broadcastZones(afterFirstToken));
+    assertEquals(List.of("zone-b"), broadcastZones(afterCompletion));
   }
 
-  private static List<String> announcedZones(List<Action> actions) {
+  private static List<String> broadcastZones(List<Action> actions) {
     return actions.stream()
         .filter(action -> action instanceof Action.BroadcastWork)
         .map(action -> ((Action.BroadcastWork) action).zone())
@@ -167,7 +168,7 @@
   @Test
   void promptTooLongForOneEngineIsShared() {
     engines(8);
-    Action.Send send = sendRequest(200_000, LONG_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(200_000, LONG_TARGETS, 0).orElseThrow();
     assertTrue(send.helpers().size() >= 1, "helpers " + send.helpers());
     assertTrue(send.helpers().stream().allMatch(helper -> helper.memoryTokens() == 0));
   }
@@ -175,7 +176,7 @@
   @Test
   void promptLargerThanOneEngineReservesMemoryOnHelpers() {
     engines(8);
-    Action.Send send = sendRequest(400_000, LONG_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(400_000, LONG_TARGETS, 0).orElseThrow();
     long elsewhere = send.helpers().stream().mapToLong(Action.Helper::memoryTokens).sum();
     assertTrue(401_000 - elsewhere <= PROFILE.memoryTokens(), "elsewhere " + elsewhere);
   }
@@ -184,30 +185,31 @@
   void fullEngineGetsNoMoreRequests() {
     engines(1);
     for (int i = 0; i < PROFILE.slots(); i++) {
-      assertTrue(sendRequest(1_000, SHORT_AIMS, 0).isPresent());
+      assertTrue(sendRequest(1_000, SHORT_TARGETS, 0).isPresent());
     }
-    assertTrue(sendRequest(1_000, SHORT_AIMS, 0).isEmpty());
+    assertTrue(sendRequest(1_000, SHORT_TARGETS, 0).isEmpty());
     assertEquals(1, coordinator.waitingCount());
   }
 
   @Test
   void jobsOfOtherDaemonsAreCounted() {
     engines(2);
-    HostIdentity busy = sendRequest(5_000, SHORT_AIMS, 0).orElseThrow().endpoint().identity();
+    HostIdentity busy = sendRequest(5_000, SHORT_TARGETS, 0).orElseThrow().endpoint().identity();
     HostIdentity other = new HostIdentity("host-2", 1);
-    EngineJob job = new EngineJob(1, busy, 200_000, 201_000, 1, true, LONG_AIMS, 10);
+    EngineJob job = new EngineJob(1, busy, 200_000, 201_000, 1, true, LONG_TARGETS, 10);
     List<EngineUpdate> updates = List.of(new EngineUpdate.Placed(job));
     FleetReport report = new FleetReport(other, Optional.empty(), 1, "zone-a", false, updates);
     coordinator.peerWorkReported(List.of(report), 10);
-    assertNotEquals(busy, sendRequest(5_000, SHORT_AIMS, 20).orElseThrow().endpoint().identity());
+    assertNotEquals(
+        busy, sendRequest(5_000, SHORT_TARGETS, 20).orElseThrow().endpoint().identity());
     coordinator.daemonRemoved(other, 30);
-    assertEquals(busy, sendRequest(5_000, SHORT_AIMS, 40).orElseThrow().endpoint().identity());
+    assertEquals(busy, sendRequest(5_000, SHORT_TARGETS, 40).orElseThrow().endpoint().identity());
   }
 
   @Test
   void failedHelperIsExcludedAndTheFirstEngineIsNotBlamed() {
     engines(8);
-    Action.Send send = sendRequest(400_000, LONG_AIMS, 0).orElseThrow();
+    Action.Send send = sendRequest(400_000, LONG_TARGETS, 0).orElseThrow();
     HostIdentity atFault = send.helpers().get(0).endpoint().identity();
     coordinator.helperRefused(send.attempt(), atFault, 5);
     Action.Send again =
@@ -217,14 +219,14 @@
             .findFirst()
             .orElseThrow();
     assertTrue(
-        again.helpers().stream().noneMatch(one -> one.endpoint().identity().equals(atFault)));
+        again.helpers().stream().noneMatch(helper -> helper.endpoint().identity().equals(atFault)));
     assertNotEquals(atFault, again.endpoint().identity());
     assertEquals(send.endpoint(), again.endpoint());
     // During its prefill, another prompt of its length would wait.
     coordinator.attemptEvent(again.attempt(), AttemptEvent.ANSWERED, 8);
-    Action.Send other = sendRequest(400_000, LONG_AIMS, 10).orElseThrow();
+    Action.Send other = sendRequest(400_000, LONG_TARGETS, 10).orElseThrow();
     assertTrue(
-        other.helpers().stream().noneMatch(one -> one.endpoint().identity().equals(atFault)));
+        other.helpers().stream().noneMatch(helper -> helper.endpoint().identity().equals(atFault)));
   }
 
   @Test
@@ -232,41 +234,41 @@
     engines(6);
     Set<HostIdentity> used = new HashSet<>();
     for (int i = 0; i < PROFILE.slots() - 1; i++) {
-      Action.Send send = sendRequest(1_000, SHORT_AIMS, 200 * i).orElseThrow();
+      Action.Send send = sendRequest(1_000, SHORT_TARGETS, 200 * i).orElseThrow();
       firstToken(send, 200 * i + 60);
       used.add(send.endpoint().identity());
     }
     assertEquals(1, used.size());
-    Action.Send last = sendRequest(1_000, SHORT_AIMS, 3_000).orElseThrow();
+    Action.Send last = sendRequest(1_000, SHORT_TARGETS, 3_000).orElseThrow();
     assertFalse(used.contains(last.endpoint().identity()));
   }
 
   @Test
   void longPromptIsSharedByAllEnginesWithoutStreams() {
     engines(8);
-    firstToken(sendRequest(1_000, SHORT_AIMS, 0).orElseThrow(), 60);
-    Action.Send send = sendRequest(200_000, LONG_AIMS, 100).orElseThrow();
+    firstToken(sendRequest(1_000, SHORT_TARGETS, 0).orElseThrow(), 60);
+    Action.Send send = sendRequest(200_000, LONG_TARGETS, 100).orElseThrow();
     assertEquals(6, send.helpers().size());
   }
 
   @Test
   void longAnswersShareADecodingEngine() {
     engines(8);
-    Action.Send first = sendRequest(90_000, LONG_AIMS, 0).orElseThrow();
+    Action.Send first = sendRequest(90_000, LONG_TARGETS, 0).orElseThrow();
     firstToken(first, 200);
-    Action.Send second = sendRequest(90_000, LONG_AIMS, 300).orElseThrow();
+    Action.Send second = sendRequest(90_000, LONG_TARGETS, 300).orElseThrow();
     assertEquals(first.endpoint(), second.endpoint());
     firstToken(second, 500);
     // Two such prompts fill the memory of an engine.
-    Action.Send third = sendRequest(90_000, LONG_AIMS, 600).orElseThrow();
+    Action.Send third = sendRequest(90_000, LONG_TARGETS, 600).orElseThrow();
     assertNotEquals(first.endpoint(), third.endpoint());
   }
 
   @Test
   void promptWaitsForThePrefillOfAnOlderOne() {
     engines(8);
-    Action.Send older = sendRequest(400_000, LONG_AIMS, 0).orElseThrow();
-    assertTrue(sendRequest(400_000, LONG_AIMS, 100).isEmpty());
+    Action.Send older = sendRequest(400_000, LONG_TARGETS, 0).orElseThrow();
+    assertTrue(sendRequest(400_000, LONG_TARGETS, 100).isEmpty());
     assertEquals(1, coordinator.waitingCount());
     firstToken(older, 1_900);
     coordinator.attemptEvent(older.attempt(), AttemptEvent.ANSWERED, 1_950);
@@ -288,18 +290,18 @@
         open.addAll(
             sends(coordinator.attemptEvent(oldest.attempt(), AttemptEvent.ANSWERED, nowMs)));
       } else {
-        sendRequest(1L << (9 + step), step < 5 ? SHORT_AIMS : LONG_AIMS, nowMs)
+        sendRequest(1L << (9 + step), step < 5 ? SHORT_TARGETS : LONG_TARGETS, nowMs)
             .ifPresent(open::add);
       }
       open.addAll(sends(coordinator.tick(nowMs)));
-      for (Action.Send one : open) {
-        HostIdentity decoder = one.endpoint().identity();
+      for (Action.Send send : open) {
+        HostIdentity decoder = send.endpoint().identity();
         long there = open.stream().filter(other -> decoder.equals(identity(other))).count();
         assertTrue(there <= PROFILE.slots(), there + " at " + decoder);
-        Set<HostIdentity> all = new HashSet<>();
-        all.add(decoder);
-        one.helpers().forEach(helper -> all.add(helper.endpoint().identity()));
-        assertEquals(1 + one.helpers().size(), all.size());
+        Set<HostIdentity> participants = new HashSet<>();
+        participants.add(decoder);
+        send.helpers().forEach(helper -> participants.add(helper.endpoint().identity()));
+        assertEquals(1 + send.helpers().size(), participants.size());
       }
     }
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/engine/PlacementFormulaTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/engine/PlacementFormulaTest.java
@@ -36,7 +36,7 @@
           new EngineProfile(11, 232_000, 43, 1.02, 0.0033, 0.0043, 206, 0.138, 2_048, 0.075),
           new EngineProfile(4, 90_001, 20, 4, 0.1, 0.02, 30, 0.5, 512, 0.5));
   private static final long[] PROMPTS = {300, 1_000, 5_000, 24_999, 60_001, 120_000, 200_003};
-  private static final List<LatencyTargets> AIMS =
+  private static final List<LatencyTargets> TARGETS =
       List.of(
           LatencyTargets.NONE,
           new LatencyTargets(300, 250, 2),
@@ -79,7 +79,7 @@
         excluded.add(state.endpoint().identity());
       }
     }
-    LatencyTargets aims = AIMS.get(random.nextInt(AIMS.size()));
+    LatencyTargets targets = TARGETS.get(random.nextInt(TARGETS.size()));
     long arrivedMs = nowMs - (random.nextBoolean() ? 0 : random.nextInt(3_000));
     RequestFacts facts =
         new RequestFacts(
@@ -92,7 +92,7 @@
             0,
             true,
             List.of(),
-            aims);
+            targets);
     return new Placement.Query(facts, 0, states, excluded, "zone-a", nowMs);
   }
 
@@ -117,12 +117,12 @@
       int segments = random.nextInt(3) == 0 ? 2 + random.nextInt(8) : 1;
       boolean decodes = segments == 1 || random.nextInt(segments) == 0;
       long prompt = prompt(random);
-      LatencyTargets aims = AIMS.get(random.nextInt(AIMS.size()));
+      LatencyTargets targets = TARGETS.get(random.nextInt(TARGETS.size()));
       HostIdentity at = state.endpoint().identity();
       state
           .load()
           .add(
-              new EngineJob(id, at, prompt, prompt / segments, segments, decodes, aims, sentMs),
+              new EngineJob(id, at, prompt, prompt / segments, segments, decodes, targets, sentMs),
               sentMs);
       if (random.nextInt(3) == 0) {
         state.load().recordFirstToken(id, sentMs + random.nextInt((int) (nowMs - sentMs) + 1));
@@ -167,16 +167,17 @@
     }
 
     Optional<Placement.Choice> choice() {
-      Plan now = best(true);
-      if (now == null) {
+      Plan immediate = best(true);
+      if (immediate == null) {
         return Optional.empty();
       }
-      Plan later = best(false);
+      Plan deferred = best(false);
       boolean shouldWait =
-          now.engines.size() > 1
-              && later.cost < now.cost
-              && later.engines.stream().anyMatch(one -> one.forecast().sharedMs() > MIN_WAIT_MS);
-      return shouldWait ? Optional.empty() : Optional.of(choice(now));
+          immediate.engines.size() > 1
+              && deferred.cost < immediate.cost
+              && deferred.engines.stream()
+                  .anyMatch(candidate -> candidate.forecast().sharedMs() > MIN_WAIT_MS);
+      return shouldWait ? Optional.empty() : Optional.of(choice(immediate));
     }
 
     private Placement.Choice choice(Plan plan) {
@@ -186,23 +187,26 @@
       List<Placement.Helper> helpers =
           plan.engines.stream()
               .skip(1)
-              .map(one -> new Placement.Helper(one.state(), helperTokens))
+              .map(candidate -> new Placement.Helper(candidate.state(), helperTokens))
               .toList();
       Reason reason = helpers.isEmpty() ? Reason.EARLIEST_FIRST_TOKEN : Reason.SEVERAL_ENGINES;
       return new Placement.Choice(
           first.state(),
           reason,
           candidates.stream()
-              .filter(one -> one != first)
+              .filter(candidate -> candidate != first)
               .limit(3)
-              .map(one -> new PassedOverEndpoint(one.name(), Math.round(singleEngineMs(one))))
+              .map(
+                  candidate ->
+                      new PassedOverEndpoint(
+                          candidate.name(), Math.round(singleEngineMs(candidate))))
               .toList(),
           helpers,
           OptionalLong.of(Math.round(plan.firstTokenMs)));
     }
 
-    private double singleEngineMs(EngineCandidate one) {
-      return one.forecast().singleEngineMs(segment(one, 1));
+    private double singleEngineMs(EngineCandidate candidate) {
+      return candidate.forecast().singleEngineMs(segment(candidate, 1));
     }
 
     private Plan best(boolean immediate) {
@@ -227,16 +231,17 @@
     private Plan plan(int count, boolean immediate) {
       List<EngineCandidate> eligible =
           candidates.stream()
-              .filter(one -> count == 1 ? one.canDecode() : one.canHelp())
-              .filter(one -> one.freeTokens() >= roundedUp(facts.workTokens(), count))
+              .filter(candidate -> count == 1 ? candidate.canDecode() : candidate.canHelp())
+              .filter(candidate -> candidate.freeTokens() >= roundedUp(facts.workTokens(), count))
               .toList();
       EngineCandidate decoder = null;
-      for (EngineCandidate one : eligible) {
-        boolean canDecode = one.canDecode();
+      for (EngineCandidate candidate : eligible) {
+        boolean canDecode = candidate.canDecode();
         if (canDecode
             && (decoder == null
-                || decodeOrder(one, count, immediate) < decodeOrder(decoder, count, immediate))) {
-          decoder = one;
+                || decodeOrder(candidate, count, immediate)
+                    < decodeOrder(decoder, count, immediate))) {
+          decoder = candidate;
         }
       }
       if (decoder == null || eligible.size() < count) {
@@ -250,45 +255,56 @@
               Double.compare(prefillOrder(a, count, immediate), prefillOrder(b, count, immediate)));
       chosen.addAll(others.subList(0, count - 1));
       double latestMs =
-          chosen.stream().mapToDouble(one -> firstTokenMs(one, count, immediate)).max().orElse(0);
-      double harm = chosen.stream().mapToDouble(one -> harm(one, count, immediate)).sum();
+          chosen.stream()
+              .mapToDouble(candidate -> firstTokenMs(candidate, count, immediate))
+              .max()
+              .orElse(0);
+      double harm =
+          chosen.stream().mapToDouble(candidate -> harm(candidate, count, immediate)).sum();
       return new Plan(
           chosen, latestMs, harm + lateness(latestMs) + WEIGHTS.engineCost() * (count - 1));
     }
 
-    private double decodeOrder(EngineCandidate one, int count, boolean immediate) {
-      return optionCost(one, count, immediate) + costs.decoderCost(facts, one, count);
+    private double decodeOrder(EngineCandidate candidate, int count, boolean immediate) {
+      return optionCost(candidate, count, immediate) + costs.decoderCost(facts, candidate, count);
     }
 
-    private double prefillOrder(EngineCandidate one, int count, boolean immediate) {
-      return optionCost(one, count, immediate) + costs.mixedPrefillCost(one);
+    private double prefillOrder(EngineCandidate candidate, int count, boolean immediate) {
+      return optionCost(candidate, count, immediate) + costs.mixedPrefillCost(candidate);
     }
 
-    private double optionCost(EngineCandidate one, int count, boolean immediate) {
-      return harm(one, count, immediate) + lateness(firstTokenMs(one, count, immediate));
+    private double optionCost(EngineCandidate candidate, int count, boolean immediate) {
+      return harm(candidate, count, immediate)
+          + lateness(firstTokenMs(candidate, count, immediate));
     }
 
     private double lateness(double firstTokenMs) {
       return costs.latenessCost(facts, query.nowMs() - facts.arrivedMs() + firstTokenMs);
     }
 
-    private double harm(EngineCandidate one, int count, boolean immediate) {
-      EngineForecast.PrefillWork segment = segment(one, count);
+    private double harm(EngineCandidate candidate, int count, boolean immediate) {
+      EngineForecast.PrefillWork segment = segment(candidate, count);
       boolean beforeOthers = count > 1 && immediate;
-      return costs.decodeHarm(one.forecast(), segment)
-          + costs.prefillHarm(one.forecast(), segment.ms(), count, beforeOthers)
-          + costs.orderCost(facts, one);
+      return costs.decodeHarm(candidate.forecast(), segment)
+          + costs.prefillHarm(candidate.forecast(), segment.ms(), count, beforeOthers)
+          + costs.orderCost(facts, candidate);
     }
 
-    private double firstTokenMs(EngineCandidate one, int count, boolean immediate) {
-      EngineForecast.PrefillWork segment = segment(one, count);
+    private double firstTokenMs(EngineCandidate candidate, int count, boolean immediate) {
+      EngineForecast.PrefillWork segment = segment(candidate, count);
       double sharedMs =
-          immediate ? one.forecast().sharedMs(segment) : one.forecast().deferredMs(segment);
-      return (count == 1 ? one.forecast().singleEngineMs(segment) : sharedMs) + one.zonePenaltyMs();
+          immediate
+              ? candidate.forecast().sharedMs(segment)
+              : candidate.forecast().deferredMs(segment);
+      return (count == 1 ? candidate.forecast().singleEngineMs(segment) : sharedMs)
+          + candidate.zonePenaltyMs();
     }
 
-    private EngineForecast.PrefillWork segment(EngineCandidate one, int count) {
-      double ms = one.profile().prefillMs(facts.promptTokens()) / count * one.forecast().slowness();
+    private EngineForecast.PrefillWork segment(EngineCandidate candidate, int count) {
+      double ms =
+          candidate.profile().prefillMs(facts.promptTokens())
+              / count
+              * candidate.forecast().slowness();
       return new EngineForecast.PrefillWork(ms, roundedUp(facts.promptTokens(), count));
     }
 
--- a/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetOverlayTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetOverlayTest.java
@@ -28,8 +28,8 @@
 
     @Override
     public void gone(FleetMember member, long silentMs) {
-      HostIdentity who = member.identity();
-      events.add("-" + who.host() + "/" + who.incarnation() + " " + silentMs);
+      HostIdentity identity = member.identity();
+      events.add("-" + identity.host() + "/" + identity.incarnation() + " " + silentMs);
     }
   }
 
@@ -68,25 +68,25 @@
 
   @Test
   void lateReportOfThePreviousIncarnationIsDropped() {
-    FleetMember before = member("a-3", 1, "a", 1);
-    FleetMember now = member("a-3", 2, "a", 1);
-    assertTrue(overlay.accept(complete(before, 30), 0));
-    assertTrue(overlay.accept(complete(now, 1), 10));
-    assertFalse(overlay.accept(complete(before, 31), 20));
-    assertFalse(overlay.accept(complete(now, 1), 30));
-    assertEquals(List.of(now), overlay.alive());
+    FleetMember previous = member("a-3", 1, "a", 1);
+    FleetMember current = member("a-3", 2, "a", 1);
+    assertTrue(overlay.accept(complete(previous, 30), 0));
+    assertTrue(overlay.accept(complete(current, 1), 10));
+    assertFalse(overlay.accept(complete(previous, 31), 20));
+    assertFalse(overlay.accept(complete(current, 1), 30));
+    assertEquals(List.of(current), overlay.alive());
   }
 
   /** Guards against two zone leaders that forwarded such reports to each other forever. */
   @Test
   void reportsOfTwoIncarnationsDoNotCirculate() {
     FleetOverlay other = new FleetOverlay(member("b-1", 1, "b", 20), new RecordingWatcher());
-    List<FleetReport> passed =
+    List<FleetReport> forwarded =
         List.of(complete(member("a-3", 1, "a", 1), 30), complete(member("a-3", 2, "a", 1), 1));
     int hops = 0;
-    while (!passed.isEmpty() && hops < 100) {
+    while (!forwarded.isEmpty() && hops < 100) {
       FleetOverlay next = hops % 2 == 0 ? overlay : other;
-      passed = passed.stream().filter(report -> next.accept(report, 0)).toList();
+      forwarded = forwarded.stream().filter(report -> next.accept(report, 0)).toList();
       hops++;
     }
     assertTrue(hops <= 4, "hops " + hops);
--- a/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetSpreadTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/membership/FleetSpreadTest.java
@@ -59,7 +59,7 @@
       if (heartbeat) {
         List<FleetMember> to = new ArrayList<>(overlay.otherZoneLinks(nowMs));
         to.add(leader.equals(member) ? seed : leader);
-        FleetReport all =
+        FleetReport complete =
             new FleetReport(
                 member.identity(),
                 Optional.of(member),
@@ -67,9 +67,9 @@
                 FleetReport.ALL_ZONES,
                 true,
                 List.of());
-        to.forEach(one -> send(this, one, true, List.of(all)));
+        to.forEach(target -> send(this, target, true, List.of(complete)));
         if (overlay.forwards(nowMs)) {
-          forward(List.of(all));
+          forward(List.of(complete));
         }
       } else if (overlay.forwards(nowMs)) {
         forward(List.of());
@@ -91,15 +91,15 @@
     void forward(List<FleetReport> reports) {
       List<FleetMember> to = new ArrayList<>(overlay.sameZoneLinks(nowMs));
       to.addAll(overlay.otherZoneLinks(nowMs));
-      to.forEach(one -> send(this, one, false, reports));
+      to.forEach(target -> send(this, target, false, reports));
     }
 
     void receive(FleetMember from, boolean subscribes, List<FleetReport> reports) {
       boolean first = !overlay.alive().contains(from);
       overlay.receivedFrom(from, subscribes, nowMs);
       List<FleetReport> newReports =
-          reports.stream().filter(one -> overlay.accept(one, nowMs)).toList();
-      newReports.forEach(one -> accepted.add(one.from().host() + " " + one.sequence()));
+          reports.stream().filter(report -> overlay.accept(report, nowMs)).toList();
+      newReports.forEach(report -> accepted.add(report.from().host() + " " + report.sequence()));
       if (!newReports.isEmpty() && overlay.forwards(nowMs)) {
         forward(newReports);
       }
--- a/org.fawndrum/tst/org/fawndrum/coordination/membership/ZoneMembershipTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/membership/ZoneMembershipTest.java
@@ -123,7 +123,7 @@
         }
       }
       Set<HostIdentity> seen = new HashSet<>();
-      zone.members.get(i).livingInZone().forEach(one -> seen.add(one.identity()));
+      zone.members.get(i).livingInZone().forEach(facts -> seen.add(facts.identity()));
       assertEquals(expected, seen);
     }
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/once/OnceHistory.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/once/OnceHistory.java
@@ -62,11 +62,11 @@
 
     void replay() {
       while (replayed < log.size()) {
-        Logged one = log.get(replayed++);
-        if (one.retired()) {
-          claims.members().retire(one.identity());
+        Logged entry = log.get(replayed++);
+        if (entry.retired()) {
+          claims.members().retire(entry.identity());
         } else {
-          claims.members().register(one.identity(), NOWHERE, nowMs);
+          claims.members().register(entry.identity(), NOWHERE, nowMs);
         }
       }
     }
@@ -78,13 +78,13 @@
         } else if (action instanceof ClaimAction.Refuse refuse) {
           ClaimKey key = keys.get(refuse.requestId());
           if (refuse.refusal().ran() == Ran.NO && runs.getOrDefault(key, 0) > 0) {
-            faults.add("said not run, but ran: " + key);
+            faults.add("reported as not run, but ran: " + key);
           }
           unknown++;
         } else if (action instanceof ClaimAction.ReadLogToEnd replay) {
           readLog(replay.requestId());
-        } else if (action instanceof ClaimAction.QueryHost ask) {
-          ask(ask);
+        } else if (action instanceof ClaimAction.QueryHost query) {
+          queryHost(query);
         }
       }
     }
@@ -100,18 +100,18 @@
       }
     }
 
-    private void ask(ClaimAction.QueryHost ask) {
-      Host other = living(ask.identity());
+    private void queryHost(ClaimAction.QueryHost query) {
+      Host other = livingHost(query.identity());
       if (other == null || cut(identity.host(), other.identity.host())) {
         return;
       }
       later(
           other,
           () -> {
-            ClaimAnswer answer = other.claims.answerClaim(ask.key(), nowMs);
+            ClaimAnswer answer = other.claims.answerClaim(query.key(), nowMs);
             later(
                 this,
-                () -> carryOut(claims.receiveAnswer(other.identity, ask.key(), answer, nowMs)));
+                () -> carryOut(claims.receiveAnswer(other.identity, query.key(), answer, nowMs)));
           });
     }
 
@@ -283,7 +283,7 @@
     }
   }
 
-  private Host living(HostIdentity identity) {
+  private Host livingHost(HostIdentity identity) {
     return hosts.stream()
         .filter(host -> host.identity.equals(identity) && host.alive)
         .findFirst()
@@ -294,11 +294,11 @@
     return "host-" + random.nextInt(HOSTS);
   }
 
-  private static String pair(String one, String other) {
-    return one.compareTo(other) < 0 ? one + "~" + other : other + "~" + one;
+  private static String pair(String first, String second) {
+    return first.compareTo(second) < 0 ? first + "~" + second : second + "~" + first;
   }
 
-  private boolean cut(String one, String other) {
-    return brokenLinks.contains(pair(one, other));
+  private boolean cut(String first, String second) {
+    return brokenLinks.contains(pair(first, second));
   }
 }
