--- a/org.fawndrum/src/org/fawndrum/transport/relay/AttemptOwner.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/AttemptOwner.java
@@ -13,7 +13,7 @@
   void handedOver();
 
   /** Called when the endpoint's complete answer arrived. */
-  void answered(RelayAttempt attempt, RelayExchange.WholeAnswer answer);
+  void answered(RelayAttempt attempt, RelayExchange.FullAnswer answer);
 
   /** Called when a complete event arrived; returns false if it cannot follow the previous event. */
   boolean eventReceived(RelayAttempt attempt, EventSplitter.StreamEvent event);
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ConfigurationFreshness.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ConfigurationFreshness.java
@@ -9,7 +9,10 @@
  * expect.
  */
 final class ConfigurationFreshness {
-  /** How long before the revocation limit a host stops accepting keys that it cannot confirm. */
+  /**
+   * How long before the revocation limit a host stops accepting keys that it cannot confirm, in
+   * milliseconds.
+   */
   private static final long REVOKE_MARGIN_MS = 400;
 
   private ConfigurationFreshness() {}
@@ -31,7 +34,7 @@
    *     an outdated configuration, any other host then serves callers at least as well
    */
   static boolean acceptsCallers(RelayBounds bounds, long ageMs, boolean cutOff) {
-    boolean fresh = ageMs < bounds.revokeMs();
-    return fresh || !bounds.keysNeedProof() && !cutOff;
+    boolean withinLimit = ageMs < bounds.revokeMs();
+    return withinLimit || !bounds.keysNeedProof() && !cutOff;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
@@ -37,8 +37,8 @@
   private final Supplier<Basis> basis;
   private final HostClock clock;
   private final HostLog log;
-  private final LogRateLimiter failureBudget = new LogRateLimiter(MAX_FAILURE_LINES_PER_SECOND);
-  private final LogRateLimiter successBudget = new LogRateLimiter(MAX_SUCCESS_LINES_PER_SECOND);
+  private final LogRateLimiter failureLimiter = new LogRateLimiter(MAX_FAILURE_LINES_PER_SECOND);
+  private final LogRateLimiter successLimiter = new LogRateLimiter(MAX_SUCCESS_LINES_PER_SECOND);
   private long nextSuppressedReportMs;
 
   /**
@@ -112,7 +112,7 @@
     }
     boolean failed =
         decision.kind() == DecisionKind.REFUSED || decision.kind() == DecisionKind.ATTEMPT_FAILED;
-    if ((failed ? failureBudget : successBudget).tryAcquire(clock.nowMs())) {
+    if ((failed ? failureLimiter : successLimiter).tryAcquire(clock.nowMs())) {
       log.details(
           LogEvent.DECISION, new DecisionDetails(OperatorViews.decision(decision), basis.get()));
     }
@@ -121,7 +121,7 @@
 
   /** Logs a request that was rejected before it reached the decision duty. */
   void requestRejected(String requestId, Refusal refusal) {
-    if (failureBudget.tryAcquire(clock.nowMs())) {
+    if (failureLimiter.tryAcquire(clock.nowMs())) {
       log.details(
           LogEvent.REJECTED_BEFORE_DECISION,
           new RejectedDetails(
@@ -131,7 +131,7 @@
 
   /** Logs a completed stream. */
   void streamCompleted(String requestId, StreamPace pace, String endpoint) {
-    if (successBudget.tryAcquire(clock.nowMs())) {
+    if (successLimiter.tryAcquire(clock.nowMs())) {
       log.details(
           LogEvent.STREAM_COMPLETED,
           new StreamDetails(
@@ -145,7 +145,7 @@
    * @param why the failure of the last probe
    */
   void engineSilent(String requestId, String endpoint, long silentMs, Throwable why) {
-    if (failureBudget.tryAcquire(clock.nowMs())) {
+    if (failureLimiter.tryAcquire(clock.nowMs())) {
       log.details(
           LogEvent.ENGINE_SILENT,
           new SilentEngineDetails(requestId, endpoint, silentMs, String.valueOf(why.getMessage())));
@@ -154,7 +154,7 @@
 
   /** Logs a crash of an endpoint that had a request. */
   void endpointCrashed(RelayCall call, Endpoint endpoint) {
-    if (failureBudget.tryAcquire(clock.nowMs())) {
+    if (failureLimiter.tryAcquire(clock.nowMs())) {
       String fingerprint = call.content().fingerprint().map(Object::toString).orElse("");
       log.details(
           LogEvent.ENDPOINT_CRASHED,
@@ -164,8 +164,8 @@
   }
 
   /** Logs that an attempt released its memory on other engines. */
-  void memoryFreed(String requestId, String endpoint, PromptMemory.Usage usage) {
-    if (successBudget.tryAcquire(clock.nowMs())) {
+  void memoryReleased(String requestId, String endpoint, PromptMemory.Usage usage) {
+    if (successLimiter.tryAcquire(clock.nowMs())) {
       log.details(LogEvent.MEMORY_RELEASED, new MemoryDetails(requestId, endpoint, usage));
     }
   }
@@ -176,8 +176,8 @@
       return;
     }
     nextSuppressedReportMs = nowMs + SUPPRESSED_REPORT_INTERVAL_MS;
-    long suppressedFailures = failureBudget.takeSuppressed();
-    long suppressedSuccesses = successBudget.takeSuppressed();
+    long suppressedFailures = failureLimiter.takeSuppressed();
+    long suppressedSuccesses = successLimiter.takeSuppressed();
     if (suppressedFailures + suppressedSuccesses > 0) {
       log.event(
           LogEvent.LINES_SUPPRESSED,
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EndpointReader.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EndpointReader.java
@@ -60,7 +60,7 @@
   private final EntryHistory entryHistory = new EntryHistory();
   private final EntryChanges entryChanges = new EntryChanges();
   private Set<String> keysWithoutStart = Set.of();
-  private final LogRateLimiter lineBudget = new LogRateLimiter(MAX_LINES_PER_SECOND);
+  private final LogRateLimiter logLimiter = new LogRateLimiter(MAX_LINES_PER_SECOND);
   private long recoveredMs = HostClock.NEVER_MS;
 
   /**
@@ -238,7 +238,7 @@
 
   private void logUnusable(KeyedRecord record, Object why) {
     unusableCount = unusableCount + 1;
-    if (lineBudget.tryAcquire(clock.nowMs())) {
+    if (logLimiter.tryAcquire(clock.nowMs())) {
       log.event(LogEvent.ENTRY_UNUSABLE, record.key(), record.offset(), why);
     }
   }
@@ -309,18 +309,18 @@
         .filter(key -> !previous.contains(key))
         .forEach(key -> logUnusable(records.get(key), "start time missing"));
     List<Endpoint> endpoints = new ArrayList<>();
-    Set<HostIdentity> leaving = new HashSet<>();
+    Set<HostIdentity> draining = new HashSet<>();
     for (RelayDecoder.EndpointEntry entry : entries.values()) {
       if (keysWithoutStart.contains(entry.endpoint().name())) {
         continue;
       }
       endpoints.add(entry.endpoint());
       if (entry.draining()) {
-        leaving.add(entry.endpoint().identity());
+        draining.add(entry.endpoint().identity());
       }
     }
     // All daemons list the endpoints in the same order, independent of when they learned of them.
     endpoints.sort(Comparator.comparing(Endpoint::name));
-    onListing.accept(new HostListing(++version, endpoints, leaving, List.of()));
+    onListing.accept(new HostListing(++version, endpoints, draining, List.of()));
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/EntryHistory.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EntryHistory.java
@@ -15,7 +15,7 @@
 final class EntryHistory {
   /**
    * Maximum number of removed entries that are kept: a fleet of 10,000 endpoints replaces fewer
-   * within the age, in seconds, that a copy may have.
+   * within the seconds by which a copy may be outdated.
    */
   private static final int MAX_REMOVED = 1_024;
 
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetDuty.java
@@ -47,8 +47,8 @@
   private static final long SEARCH_HEARTBEAT_MS = 250;
 
   /**
-   * Number of live peers from which on a zone receives only reports about its own engines at once.
-   * With 76 daemons, receiving reports about all engines took more processor time than is
+   * Number of live peers from which on a zone receives at once only the reports about its own
+   * engines. With 76 daemons, receiving reports about all engines took more processor time than is
    * available; with 8 there is no problem.
    */
   private static final int MANY_DAEMONS = 24;
@@ -82,7 +82,7 @@
   private volatile int knownPeerCount;
   private volatile boolean manyDaemons;
   private volatile Set<String> silentZones = Set.of();
-  private volatile boolean allPeersActive = true;
+  private volatile boolean allHostsReporting = true;
   private long sequence;
   private long nextHeartbeatMs;
   private long nextViewUpdateMs;
@@ -144,8 +144,8 @@
   }
 
   /** Returns whether all known daemons sent a message recently. */
-  boolean allPeersActive() {
-    return allPeersActive;
+  boolean allHostsReporting() {
+    return allHostsReporting;
   }
 
   /** Returns the address of the leader of this host's zone; null if this host is the leader. */
@@ -185,18 +185,18 @@
     long nowMs = clock.nowMs();
     boolean first = !overlay.isAlive(message.from());
     overlay.receivedFrom(message.from(), message.subscribes(), nowMs);
-    overlay.addMembers(message.known(), nowMs);
-    List<FleetReport> fresh = new ArrayList<>();
+    overlay.addMembers(message.knownMembers(), nowMs);
+    List<FleetReport> newReports = new ArrayList<>();
     for (FleetReport report : message.reports()) {
       if (overlay.accept(report, nowMs)) {
-        fresh.add(report);
+        newReports.add(report);
       }
     }
-    if (!fresh.isEmpty()) {
-      listener.reportsReceived(fresh);
+    if (!newReports.isEmpty()) {
+      listener.reportsReceived(newReports);
     }
     if (overlay.forwards(nowMs)) {
-      reportBuffer.add(fresh, nowMs);
+      reportBuffer.add(newReports, nowMs);
     }
     if (message.subscribes() && (first || overlay.hasCloserLeader(message.from(), nowMs))) {
       sendKnownMembers(message.from());
@@ -245,10 +245,10 @@
     if (nowMs >= nextViewUpdateMs) {
       nextViewUpdateMs = nowMs + VIEW_INTERVAL_MS;
       silentZones = overlay.silentZones(nowMs);
-      allPeersActive = overlay.allHostsReporting(nowMs);
+      allHostsReporting = overlay.allHostsReporting(nowMs);
     }
-    boolean passesOn = overlay.forwards(nowMs);
-    if (passesOn && nowMs >= forwardDueMs(nowMs)) {
+    boolean forwards = overlay.forwards(nowMs);
+    if (forwards && nowMs >= forwardDueMs(nowMs)) {
       forwardReports(nowMs);
     }
     if (nowMs >= nextHeartbeatMs) {
@@ -256,7 +256,7 @@
       nextHeartbeatMs = nowMs + (livePeers.isEmpty() ? SEARCH_HEARTBEAT_MS : HEARTBEAT_MS);
       listener.workRequested(work -> duty.offer(new FleetEvent.AllWork(work)));
     }
-    long dueMs = passesOn ? forwardDueMs(nowMs) : nextHeartbeatMs;
+    long dueMs = forwards ? forwardDueMs(nowMs) : nextHeartbeatMs;
     return Math.min(nextHeartbeatMs, dueMs) - nowMs;
   }
 
@@ -302,10 +302,10 @@
 
   private void sendHeartbeat(List<EngineUpdate> work) {
     long nowMs = clock.nowMs();
-    FleetReport all =
+    FleetReport report =
         new FleetReport(self, Optional.of(member), ++sequence, FleetReport.ALL_ZONES, true, work);
     FleetNews.Builder builder =
-        newMessage().setSubscribes(true).addReports(FleetCodec.write(all, nowMs));
+        newMessage().setSubscribes(true).addReports(FleetCodec.write(report, nowMs));
     Set<HostAddress> to = addresses(overlay.otherZoneLinks(nowMs));
     if (zoneLeader != null) {
       to.add(zoneLeader);
@@ -314,7 +314,7 @@
     }
     send(builder, to);
     if (overlay.forwards(nowMs)) {
-      reportBuffer.add(List.of(all), nowMs);
+      reportBuffer.add(List.of(report), nowMs);
     }
   }
 
@@ -330,8 +330,8 @@
   private void forwardReports(long nowMs) {
     Map<String, List<FleetMember>> byZone = new TreeMap<>();
     byZone.put(member.zone(), overlay.sameZoneLinks(nowMs));
-    for (FleetMember far : overlay.otherZoneLinks(nowMs)) {
-      byZone.computeIfAbsent(far.zone(), zone -> new ArrayList<>()).add(far);
+    for (FleetMember peer : overlay.otherZoneLinks(nowMs)) {
+      byZone.computeIfAbsent(peer.zone(), zone -> new ArrayList<>()).add(peer);
     }
     List<FleetReport> all = reportBuffer.drain(nowMs);
     byZone.forEach(
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetEvent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetEvent.java
@@ -24,7 +24,7 @@
       FleetMember from,
       boolean subscribes,
       List<FleetReport> reports,
-      List<FleetMember> known,
+      List<FleetMember> knownMembers,
       PeerCrashReport crashes,
       List<HostIdentity> shuttingDown)
       implements FleetEvent {}
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
@@ -53,7 +53,7 @@
     FleetMember sender = FleetCodec.read(message.getSender());
     List<FleetReport> reports =
         message.getReportsList().stream().map(report -> FleetCodec.read(report, nowMs)).toList();
-    List<FleetMember> known = message.getKnownList().stream().map(FleetCodec::read).toList();
+    List<FleetMember> knownMembers = message.getKnownList().stream().map(FleetCodec::read).toList();
     PeerCrashReport crashes =
         new PeerCrashReport(
             sender.address(),
@@ -63,7 +63,7 @@
     List<HostIdentity> shuttingDown = FleetCodec.readEndpoints(message.getLeavingList());
     fleet.accept(
         new FleetEvent.MessageReceived(
-            sender, message.getSubscribes(), reports, known, crashes, shuttingDown));
+            sender, message.getSubscribes(), reports, knownMembers, crashes, shuttingDown));
     storeSync.peerUpdated(
         sender,
         new StorePositions(
--- a/org.fawndrum/src/org/fawndrum/transport/relay/IncarnationProbes.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/IncarnationProbes.java
@@ -7,8 +7,8 @@
 import org.fawndrum.state.Endpoint;
 
 /**
- * Probes endpoints whether their newest incarnation is shutting down. The answer contains this in a
- * notice, which is processed before the probe completes. Thread-safe and non-blocking.
+ * Probes endpoints to learn whether their newest incarnation is shutting down. A notice in the
+ * answer says so, which is processed before the probe completes. Thread-safe and non-blocking.
  */
 final class IncarnationProbes {
   /** Delay before an endpoint that did not answer is probed again, in milliseconds. */
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PeerPositions.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PeerPositions.java
@@ -10,8 +10,8 @@
 /**
  * The positions of the last changes of the endpoints' entries that peers report, and the positions
  * up to which this host has queried each of them. A daemon that removes an entry reports a position
- * beyond the end of what it read; no read reaches that position while the log is not written to, so
- * that the own read position does not show whether the change was queried. Such positions are valid
+ * beyond the end of what it read. No read reaches that position while the log is not written to, so
+ * this host's read position does not show whether the change was queried. Such positions are valid
  * for one incarnation of the daemon only. Thread-safe.
  */
 final class PeerPositions {
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PeerStoreSync.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PeerStoreSync.java
@@ -182,8 +182,10 @@
     long nowMs = clock.nowMs();
     long ageMs = routes.ageMs(nowMs);
     StorePosition end = endpoints.knownEnd();
-    StorePosition peers = new StorePosition(request.getEndpointsEra(), request.getEndpointsEnd());
-    boolean unchanged = end.epoch() == peers.epoch() && !endpoints.lastChange().isAfter(peers);
+    StorePosition peerPosition =
+        new StorePosition(request.getEndpointsEra(), request.getEndpointsEnd());
+    boolean unchanged =
+        end.epoch() == peerPosition.epoch() && !endpoints.lastChange().isAfter(peerPosition);
     KnowledgeReply.Builder reply =
         KnowledgeReply.newBuilder()
             .setConfigurationAgeMs(ageMs)
@@ -197,7 +199,7 @@
       reply.setConfiguration(record(newest));
     }
     if (!unchanged) {
-      Optional<List<KeyedRecord>> changes = endpoints.changesSince(peers);
+      Optional<List<KeyedRecord>> changes = endpoints.changesSince(peerPosition);
       reply.setEndpointsChangesOnly(changes.isPresent());
       changes.orElseGet(endpoints::records).forEach(changed -> reply.addEndpoints(record(changed)));
     }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PromptMemory.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PromptMemory.java
@@ -76,7 +76,7 @@
    * @param engines the engines that hold it, or may do so
    * @param heldMs time since the first reserve request was sent, in milliseconds
    * @param sinceEvidenceMs time since the evidence that the leases are based on, in milliseconds
-   * @param engineControl the number of reserve requests sent, including renewals
+   * @param orders the number of reserve requests sent, including renewals
    * @param unanswered the number of reserve requests without an answer, which may take effect late
    */
   record Usage(
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayAttempt.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayAttempt.java
@@ -258,9 +258,9 @@
 
   /** Forwards a notice of the endpoint, even if its answer is no longer needed. */
   private void forwardNotice(RelayCodec.Answer kind, HttpClientResponse head) {
-    boolean own = kind == RelayCodec.Answer.VALID || kind == RelayCodec.Answer.NOT_RUN;
+    boolean trusted = kind == RelayCodec.Answer.VALID || kind == RelayCodec.Answer.NOT_RUN;
     EndpointNotice notice =
-        own ? relay.codec().readNotice(head.statusCode(), head.headers()) : EndpointNotice.NONE;
+        trusted ? relay.codec().readNotice(head.statusCode(), head.headers()) : EndpointNotice.NONE;
     if (!notice.equals(EndpointNotice.NONE)) {
       relay.noticeListener().noticeReceived(send.endpoint().identity(), notice);
     }
@@ -336,7 +336,7 @@
   private void completeAnswer(HttpClientResponse head, Buffer body) {
     if (!finished) {
       finish();
-      owner.answered(this, new RelayExchange.WholeAnswer(head.statusCode(), head.headers(), body));
+      owner.answered(this, new RelayExchange.FullAnswer(head.statusCode(), head.headers(), body));
     }
   }
 
@@ -390,7 +390,9 @@
     relay.stallWatch().remove(this);
     liveness.stop();
     if (memory.isReserved()) {
-      relay.decisionLog().memoryFreed(call.request().requestId(), endpointName(), memory.usage());
+      relay
+          .decisionLog()
+          .memoryReleased(call.request().requestId(), endpointName(), memory.usage());
     }
     memory.release();
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
@@ -47,12 +47,12 @@
   private final RelayDuty decisions;
   private final Consumer<RelayEvent> events;
   private final Supplier<RelayBounds> bounds;
-  private final PauseDetector awakeTimes;
+  private final PauseDetector pauseDetector;
   private final HostClock clock;
   private final HostLog log;
   private final CompletableFuture<Void> completion = new CompletableFuture<>();
   private volatile boolean started;
-  private volatile boolean finalAnswersOrdered;
+  private volatile boolean finalAnswersQueued;
 
   /** Time of the last check, by the monotonic clock, and the maximum delay of a check so far. */
   private long polledNanos;
@@ -63,7 +63,7 @@
    * Creates a drain that has not started.
    *
    * @param events delivers events to the decision duty without losing any
-   * @param awakeTimes the times at which the host was running
+   * @param pauseDetector tells since when the stop signal may have been pending
    */
   RelayDrain(
       Vertx vertx,
@@ -71,7 +71,7 @@
       RelayDuty decisions,
       Consumer<RelayEvent> events,
       Supplier<RelayBounds> bounds,
-      PauseDetector awakeTimes,
+      PauseDetector pauseDetector,
       HostClock clock,
       HostLog log) {
     this.vertx = vertx;
@@ -79,7 +79,7 @@
     this.decisions = decisions;
     this.events = events;
     this.bounds = bounds;
-    this.awakeTimes = awakeTimes;
+    this.pauseDetector = pauseDetector;
     this.clock = clock;
     this.log = log;
   }
@@ -99,7 +99,7 @@
     }
     started = true;
     long startedMs = clock.nowMs();
-    long signaledMs = awakeTimes.earliestArrivalMs(startedMs);
+    long signaledMs = pauseDetector.earliestArrivalMs(startedMs);
     log.event(
         LogEvent.DRAIN_STARTED, Integer.toString(decisions.openRequests()), startedMs - signaledMs);
     ShutdownWindow window = ShutdownWindow.from(signaledMs, startedMs, bounds.get().graceMs());
@@ -139,12 +139,12 @@
    */
   private void answerOpenRequests(ShutdownWindow window) {
     events.accept(
-        new RelayEvent.DrainEnding(() -> vertx.runOnContext(v -> finalAnswersOrdered = true)));
+        new RelayEvent.DrainEnding(() -> vertx.runOnContext(v -> finalAnswersQueued = true)));
     vertx.setPeriodic(ANSWERS_POLL_MS, id -> pollAnswers(id, window));
   }
 
   private void pollAnswers(long timer, ShutdownWindow window) {
-    boolean answered = finalAnswersOrdered && callers.busyConnections() == 0;
+    boolean answered = finalAnswersQueued && callers.busyConnections() == 0;
     if (answered || clock.nowMs() >= window.exitMs() - FLUSH_MS) {
       vertx.cancelTimer(timer);
       log.event(LogEvent.DRAIN_COMPLETED, summary());
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
@@ -44,7 +44,7 @@
   private static final int MAX_FINDING_LINES_PER_SECOND = 5;
 
   private final RequestCoordinator coordinator;
-  private final EndpointEligibility endpointRoster = new EndpointEligibility();
+  private final EndpointEligibility eligibility = new EndpointEligibility();
   private final HostClock clock;
   private final Consumer<Action.BroadcastWork> updates;
   private final EndpointEventPublisher publisher;
@@ -53,11 +53,11 @@
   private final OpenExchanges exchanges;
   private final Duty<RelayEvent> duty;
   private RouteTable routes = RouteTable.NONE;
-  private final LogRateLimiter findingBudget = new LogRateLimiter(MAX_FINDING_LINES_PER_SECOND);
+  private final LogRateLimiter findingLimiter = new LogRateLimiter(MAX_FINDING_LINES_PER_SECOND);
   private boolean aborting;
   private volatile int openRequests;
   private volatile long crashSummary;
-  private volatile List<RejectedRequest> refusedRequests = List.of();
+  private volatile List<RejectedRequest> crashingRequests = List.of();
   private volatile int drainingEndpoints;
   private volatile int rejectedRequests;
   private volatile int abortedRequests;
@@ -116,8 +116,8 @@
   }
 
   /** Returns the requests that are rejected because endpoints crash while they have them. */
-  List<RejectedRequest> refusedRequests() {
-    return refusedRequests;
+  List<RejectedRequest> crashingRequests() {
+    return crashingRequests;
   }
 
   /**
@@ -174,7 +174,7 @@
   private void publishState() {
     openRequests = coordinator.openCount();
     crashSummary = coordinator.suspectedRequests().summary();
-    refusedRequests = coordinator.suspectedRequests().rejected();
+    crashingRequests = coordinator.suspectedRequests().rejected();
   }
 
   private void handle(RelayEvent.RequestEvent event, long nowMs) {
@@ -232,7 +232,7 @@
       for (EngineUpdate update : report.updates()) {
         restarted |=
             update instanceof EngineUpdate.Placed placed
-                && endpointRoster.incarnationReported(placed.job().endpoint());
+                && eligibility.incarnationReported(placed.job().endpoint());
       }
     }
     if (restarted) {
@@ -246,19 +246,19 @@
       carryOut(coordinator.updateTable(changed.table(), nowMs));
       passEndpoints(nowMs);
     } else if (event instanceof RelayEvent.ListingChanged listed) {
-      if (endpointRoster.updateListing(listed.listing())) {
+      if (eligibility.updateListing(listed.listing())) {
         passEndpoints(nowMs);
       }
     } else if (event instanceof RelayEvent.EndpointsShuttingDown shutdowns) {
       shutdownsReported(shutdowns, nowMs);
     } else if (event instanceof RelayEvent.IncarnationProbed probed) {
-      if (endpointRoster.markVerified(probed.incarnation())) {
+      if (eligibility.markVerified(probed.incarnation())) {
         passEndpoints(nowMs);
       }
     } else if (event instanceof RelayEvent.BackoffRequested) {
       carryOut(coordinator.backoffRequested(nowMs));
     } else if (event instanceof RelayEvent.EndpointRestarted restarted) {
-      if (endpointRoster.incarnationReported(restarted.incarnation())) {
+      if (eligibility.incarnationReported(restarted.incarnation())) {
         passEndpoints(nowMs);
       }
     }
@@ -271,7 +271,7 @@
    */
   private void shutdownsReported(RelayEvent.EndpointsShuttingDown event, long nowMs) {
     List<HostIdentity> newlyReported =
-        event.endpoints().stream().filter(endpointRoster::markDrainingFromAnswer).toList();
+        event.endpoints().stream().filter(eligibility::markDrainingFromAnswer).toList();
     if (!newlyReported.isEmpty()) {
       newlyReported.forEach(
           endpoint -> log.event(LogEvent.ENDPOINT_DRAINING, endpoint, event.by()));
@@ -281,11 +281,11 @@
   }
 
   private void handle(RelayEvent.LifecycleEvent event, long nowMs) {
-    if (event instanceof RelayEvent.RequestReleased released) {
-      log.event(LogEvent.REJECTION_CLEARED, released.fingerprint());
+    if (event instanceof RelayEvent.RejectionCleared cleared) {
+      log.event(LogEvent.REJECTION_CLEARED, cleared.fingerprint());
       carryOut(
           coordinator.suspectedRequests(
-              suspects -> suspects.clearRejection(released.fingerprint(), nowMs), nowMs));
+              suspects -> suspects.clearRejection(cleared.fingerprint(), nowMs), nowMs));
     } else if (event instanceof RelayEvent.StopSignaled signaled) {
       coordinator.beginShutdown(signaled.window());
     } else if (event instanceof RelayEvent.DrainEnding ending) {
@@ -300,14 +300,11 @@
   /** Passes the endpoints to the coordinator, with the profiles of their services. */
   private void passEndpoints(long nowMs) {
     List<Endpoint> endpoints =
-        endpointRoster.eligible().stream()
-            .map(this::withProfile)
-            .flatMap(Optional::stream)
-            .toList();
-    drainingEndpoints = endpointRoster.listedDrainingCount();
-    endpointRoster.takeUnverified().forEach(this::probe);
+        eligibility.eligible().stream().map(this::withProfile).flatMap(Optional::stream).toList();
+    drainingEndpoints = eligibility.listedDrainingCount();
+    eligibility.takeUnverified().forEach(this::probe);
     carryOut(coordinator.updateEndpoints(endpoints, nowMs));
-    carryOut(coordinator.endpointsRestarted(endpointRoster::isSuperseded, nowMs));
+    carryOut(coordinator.endpointsRestarted(eligibility::isSuperseded, nowMs));
   }
 
   private void probe(Endpoint endpoint) {
@@ -328,24 +325,24 @@
 
   private void carryOut(List<Action> actions) {
     for (Action action : actions) {
-      if (action instanceof Action.BroadcastWork announce) {
-        updates.accept(announce);
-      } else if (action instanceof Action.BroadcastCrashes update) {
-        publisher.publishCrashes(update.update());
-        update.update().rejected().forEach(this::logRefused);
+      if (action instanceof Action.BroadcastWork work) {
+        updates.accept(work);
+      } else if (action instanceof Action.BroadcastCrashes crashes) {
+        publisher.publishCrashes(crashes.update());
+        crashes.update().rejected().forEach(this::logRejected);
       }
     }
     coordinator.suspectedRequests().takeFindings().forEach(this::logFinding);
     exchanges.carryOut(actions, this::countRefusal, true);
   }
 
-  private void logRefused(RejectedRequest refused) {
-    String endpoints = String.join(" ", refused.endpoints());
-    log.event(LogEvent.REQUEST_CRASHES_ENDPOINTS, refused.request(), endpoints);
+  private void logRejected(RejectedRequest rejected) {
+    String endpoints = String.join(" ", rejected.endpoints());
+    log.event(LogEvent.REQUEST_CRASHES_ENDPOINTS, rejected.request(), endpoints);
   }
 
   private void logFinding(CrashFinding finding) {
-    if (findingBudget.tryAcquire(clock.nowMs())) {
+    if (findingLimiter.tryAcquire(clock.nowMs())) {
       log.event(LogEvent.REQUEST_NOT_REJECTED, finding.request(), finding.text());
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayEvent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayEvent.java
@@ -82,8 +82,8 @@
   /** An endpoint requested a backoff of this host. */
   record BackoffRequested() implements EndpointEvent {}
 
-  /** An operator released a rejected request from quarantine. */
-  record RequestReleased(String fingerprint) implements LifecycleEvent {}
+  /** An operator cleared the rejection of a request. */
+  record RejectionCleared(String fingerprint) implements LifecycleEvent {}
 
   /** This host received the stop signal. */
   record StopSignaled(ShutdownWindow window) implements LifecycleEvent {}
@@ -91,7 +91,7 @@
   /**
    * The drain of this host ends now; all open requests receive their final answers.
    *
-   * @param onAborted runs after all of these answers were ordered; must not block
+   * @param onAborted runs after all of these answers were queued; must not block
    */
   record DrainEnding(Runnable onAborted) implements LifecycleEvent {}
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayExchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayExchange.java
@@ -28,13 +28,13 @@
   private final StreamPace streamPace = new StreamPace();
   private RelayAttempt currentAttempt;
   private RelayAttempt answeringAttempt;
-  private WholeAnswer failedAnswer;
+  private FullAnswer failedAnswer;
   private long lastEventId;
   private boolean handedOver;
   private boolean finished;
 
   /** An endpoint's answer with its complete body. */
-  record WholeAnswer(int status, MultiMap headers, Buffer body) {}
+  record FullAnswer(int status, MultiMap headers, Buffer body) {}
 
   RelayExchange(
       RelayCall call,
@@ -93,7 +93,7 @@
   }
 
   @Override
-  public void answered(RelayAttempt attempt, WholeAnswer answer) {
+  public void answered(RelayAttempt attempt, FullAnswer answer) {
     if (!isCurrent(attempt)) {
       return;
     }
@@ -120,7 +120,7 @@
     }
   }
 
-  private void sendAnswer(WholeAnswer answer) {
+  private void sendAnswer(FullAnswer answer) {
     if (response.closed() || response.ended()) {
       return;
     }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayRuntime.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayRuntime.java
@@ -61,7 +61,7 @@
   private final IncarnationGuard engineControl;
   private final IncarnationProbes incarnationProbes;
   private final RequestedBackoffs backoffs = new RequestedBackoffs();
-  private final LogRateLimiter noticeBudget = new LogRateLimiter(MAX_NOTICE_LINES_PER_SECOND);
+  private final LogRateLimiter noticeLimiter = new LogRateLimiter(MAX_NOTICE_LINES_PER_SECOND);
   private volatile long listingVersion = -1;
   private volatile long listedAtMs;
 
@@ -94,7 +94,7 @@
             self,
             settings.zone(),
             Policies.engineModel(retries.budget(), this::manyDaemons, this::silentZones)
-                .withAllHostsReporting(this::allPeersActive),
+                .withAllHostsReporting(this::allHostsReporting),
             backoffs);
     MetricRegistry registry = new MetricRegistry();
     this.decisionLog =
@@ -110,7 +110,7 @@
             log);
     this.events = new ReliableEventSink(vertx, decisions, log);
     this.metrics =
-        new MetricsServer(vertx, settings.metrics(), registry, decisions::refusedRequests, log);
+        new MetricsServer(vertx, settings.metrics(), registry, decisions::crashingRequests, log);
     FleetReceiver receiver = new FleetReceiver(this::offerToFleet, new LazyStoreSync(), clock);
     ListenSettings peers = new ListenSettings(settings.peers(), Optional.empty());
     this.network = new NettyPeerNetwork(peers, receiver, log);
@@ -202,7 +202,7 @@
 
   private RelayDrain newDrain() {
     return new RelayDrain(
-        vertx, callers, decisions, events, this::bounds, stallWatch.awakeTimes(), clock, log);
+        vertx, callers, decisions, events, this::bounds, stallWatch.pauseDetector(), clock, log);
   }
 
   private RelayServer callerServer(RelayAdapter adapter) {
@@ -232,15 +232,15 @@
   }
 
   /**
-   * Applies the settings that may change at run time: limits, seeds and requests released from
-   * quarantine, but no addresses.
+   * Applies the settings that may change at run time: limits, seeds and the fingerprints of
+   * requests whose rejection is cleared, but no addresses.
    */
   public void reload(RelaySettings newer) {
     List<String> previous = settings.clearedFingerprints();
     settings = newer;
     newer.clearedFingerprints().stream()
         .filter(fingerprint -> !previous.contains(fingerprint))
-        .forEach(fingerprint -> events.accept(new RelayEvent.RequestReleased(fingerprint)));
+        .forEach(fingerprint -> events.accept(new RelayEvent.RejectionCleared(fingerprint)));
   }
 
   private DecisionLog.Basis basis() {
@@ -260,7 +260,7 @@
     registry.registerGauge("leavingEndpoints", decisions::drainingEndpoints);
     registry.registerGauge("restingEndpoints", () -> backoffs.activeCount(clock.nowMs()));
     registry.registerGauge("openRequests", decisions::openRequests);
-    registry.registerGauge("refusedRequests", () -> decisions.refusedRequests().size());
+    registry.registerGauge("refusedRequests", () -> decisions.crashingRequests().size());
     registry.registerGauge("decisionsRingFill", decisions::queuedEvents);
     registry.registerGauge("callerConnections", () -> callers.connections());
     registry.registerGauge("peerBytesSent", network::bytesSent);
@@ -281,8 +281,8 @@
     return fleet.manyDaemons();
   }
 
-  private boolean allPeersActive() {
-    return fleet.allPeersActive();
+  private boolean allHostsReporting() {
+    return fleet.allHostsReporting();
   }
 
   private Set<String> silentZones() {
@@ -346,7 +346,7 @@
   }
 
   private void noticeReceived(HostIdentity endpoint, EndpointNotice notice) {
-    if (noticeBudget.tryAcquire(clock.nowMs())) {
+    if (noticeLimiter.tryAcquire(clock.nowMs())) {
       log.event(LogEvent.ENDPOINT_NOTICE, endpoint, notice.draining(), notice.backoffMs());
     }
     if (notice.backoffMs() > 0) {
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelaySettings.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelaySettings.java
@@ -17,8 +17,8 @@
  * @param linkMegabits the capacity of the host's network link, in megabits a second
  * @param seeds addresses of hosts that may know other daemons
  * @param bounds the limits that operators guarantee or permit
- * @param clearedFingerprints fingerprints of requests that are released from quarantine; the
- *     metrics server lists the rejected requests
+ * @param clearedFingerprints fingerprints of requests whose rejection the operators cleared ({@code
+ *     letGo} in the file); the metrics server lists the rejected requests
  * @param debugLog whether each decision is logged
  */
 public record RelaySettings(
--- a/org.fawndrum/src/org/fawndrum/transport/relay/ReportBuffer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/ReportBuffer.java
@@ -28,13 +28,13 @@
   private long lastDrainedMs;
 
   /** Adds reports. Complete reports only confirm known state and can wait. */
-  void add(List<FleetReport> more, long nowMs) {
-    boolean changed = more.stream().anyMatch(report -> !report.complete());
+  void add(List<FleetReport> added, long nowMs) {
+    boolean changed = added.stream().anyMatch(report -> !report.complete());
     if (changed && !hasChanges) {
       hasChanges = true;
       changesSinceMs = nowMs;
     }
-    reports.addAll(more);
+    reports.addAll(added);
   }
 
   /** Returns when the buffered reports are due for this number of receivers. */
@@ -49,10 +49,10 @@
 
   /** Removes and returns the buffered reports, in order. */
   List<FleetReport> drain(long nowMs) {
-    List<FleetReport> all = List.copyOf(reports);
+    List<FleetReport> drained = List.copyOf(reports);
     reports.clear();
     hasChanges = false;
     lastDrainedMs = nowMs;
-    return all;
+    return drained;
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RouteRows.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RouteRows.java
@@ -26,7 +26,7 @@
 
   /** Returns the table of a revision of the routes. */
   static TableRevision of(RouteTable routes) {
-    TableRevisionBuilder parts = new TableRevisionBuilder(routes.revision(), routes.revision());
+    TableRevisionBuilder builder = new TableRevisionBuilder(routes.revision(), routes.revision());
     Set<Workspace> workspaces = new HashSet<>(routes.workspaces().values());
     workspaces.add(Workspace.ANONYMOUS);
     for (Route route : routes.routes()) {
@@ -35,10 +35,10 @@
       for (Workspace workspace : workspaces) {
         int rank = workspace.rank().orElse(route.rank());
         Row row = byRank.computeIfAbsent(rank, key -> row(route, key, routes.revision()));
-        parts.row(new CallerGroup(workspace.name(), route.name()), row);
+        builder.row(new CallerGroup(workspace.name(), route.name()), row);
       }
     }
-    return parts.build();
+    return builder.build();
   }
 
   private static Row row(Route route, int rank, long revision) {
--- a/org.fawndrum/src/org/fawndrum/transport/relay/StallWatch.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/StallWatch.java
@@ -42,7 +42,7 @@
   private static final long NEXT_EVENT_PAUSES = 5;
 
   private final HostClock clock;
-  private final PauseDetector awakeTimes = new PauseDetector(POLL_MS);
+  private final PauseDetector pauseDetector = new PauseDetector(POLL_MS);
   private final Set<RelayAttempt> attempts = new LinkedHashSet<>();
   private volatile int attemptsWithMemory;
   private volatile long longestSilenceMs;
@@ -73,13 +73,13 @@
     return longestSilenceMs;
   }
 
-  /** Returns the times at which this host polled, and so was running; thread-safe. */
-  PauseDetector awakeTimes() {
-    return awakeTimes;
+  /** Returns the detector of pauses of this host, which records each poll; thread-safe. */
+  PauseDetector pauseDetector() {
+    return pauseDetector;
   }
 
   private void poll() {
-    awakeTimes.recordTick(clock.nowMs());
+    pauseDetector.recordTick(clock.nowMs());
     attemptsWithMemory = (int) attempts.stream().filter(RelayAttempt::hasReservedMemory).count();
     longestSilenceMs =
         attempts.stream()
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointReaderTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointReaderTest.java
@@ -24,7 +24,7 @@
 /** Which endpoints are listed while their records are added and removed. */
 class EndpointReaderTest {
   private static final byte[] READY = {'r'};
-  private static final byte[] LEAVING = {'l'};
+  private static final byte[] DRAINING = {'l'};
   private static final byte[] EMPTY = {};
 
   private long nowMs = 1_000;
@@ -79,7 +79,7 @@
   @Test
   void entriesAreListedByName() {
     reader.applySnapshot(page("b", READY, "a", READY), 0);
-    reader.applyChanges(page("c", LEAVING), 0);
+    reader.applyChanges(page("c", DRAINING), 0);
     assertEquals(List.of("a", "b", "c"), names());
     assertEquals(Set.of(new HostIdentity("c", 0)), listing.drainingEndpoints());
   }
@@ -177,7 +177,7 @@
     reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(9, "a", READY)), 10), 0);
     assertEquals(10, reader.knownEnd().offset());
     assertEquals(3, reader.lastChange().offset());
-    reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(10, "a", LEAVING)), 11), 0);
+    reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(10, "a", DRAINING)), 11), 0);
     assertEquals(11, reader.lastChange().offset());
     reader.applyChanges(new KeyedPage(List.of(new KeyedRecord(11, "a", EMPTY)), 12), 0);
     assertEquals(13, reader.lastChange().offset());
@@ -194,7 +194,7 @@
     assertEquals(50, reader.ageMs(nowMs));
   }
 
-  private static byte[] written(char state, int sequence) {
+  private static byte[] entry(char state, int sequence) {
     return new byte[] {(byte) state, (byte) sequence};
   }
 
@@ -208,27 +208,27 @@
 
   @Test
   void removedEndpointIsListedAgainOnlyWithANewerEntry() {
-    applySnapshotIn(1, "a", written('r', 5), "b", written('r', 5));
+    applySnapshotIn(1, "a", entry('r', 5), "b", entry('r', 5));
     reader.applyChanges(inEpoch(1, page("a", EMPTY)), nowMs);
-    applySnapshotIn(2, "a", written('r', 4), "b", written('r', 4));
+    applySnapshotIn(2, "a", entry('r', 4), "b", entry('r', 4));
     assertEquals(List.of("b"), names());
-    reader.applyChanges(inEpoch(2, page("a", written('r', 6))), nowMs);
+    reader.applyChanges(inEpoch(2, page("a", entry('r', 6))), nowMs);
     assertEquals(List.of("a", "b"), names());
   }
 
   @Test
   void withinAnEpochLaterRecordsCountWhateverTheirSequence() {
-    applySnapshotIn(1, "a", written('r', 5), "b", written('r', 5));
+    applySnapshotIn(1, "a", entry('r', 5), "b", entry('r', 5));
     reader.applyChanges(inEpoch(1, page("a", EMPTY)), nowMs);
-    reader.applyChanges(inEpoch(1, page("a", written('r', 1))), nowMs);
+    reader.applyChanges(inEpoch(1, page("a", entry('r', 1))), nowMs);
     assertEquals(List.of("a", "b"), names());
   }
 
   @Test
-  void endpointIsShuttingDownUntilItWritesOtherwise() {
-    applySnapshotIn(1, "a", written('r', 5));
-    reader.applyChanges(inEpoch(1, page("a", written('l', 6))), nowMs);
-    applySnapshotIn(2, "a", written('r', 5));
+  void olderCopyOfAnEntryDoesNotEndAShutdown() {
+    applySnapshotIn(1, "a", entry('r', 5));
+    reader.applyChanges(inEpoch(1, page("a", entry('l', 6))), nowMs);
+    applySnapshotIn(2, "a", entry('r', 5));
     assertEquals(Set.of(new HostIdentity("a", 0)), listing.drainingEndpoints());
     // Hosts that query this one receive the same.
     assertEquals('l', reader.records().get(0).value()[0]);
@@ -236,8 +236,8 @@
 
   @Test
   void entriesMissingInTheCopyAreKeptForTwoSeconds() {
-    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1));
+    applySnapshotIn(1, "a", entry('r', 1), "b", entry('r', 1), "c", entry('r', 1));
+    applySnapshotIn(2, "a", entry('r', 1), "b", entry('r', 1));
     assertEquals(List.of("a", "b", "c"), names());
     nowMs += 2_001;
     reader.applyChanges(inEpoch(2, page()), nowMs);
@@ -246,10 +246,10 @@
 
   @Test
   void entriesMissingInTheCopyStayIfWrittenAgain() {
-    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1));
+    applySnapshotIn(1, "a", entry('r', 1), "b", entry('r', 1), "c", entry('r', 1));
+    applySnapshotIn(2, "a", entry('r', 1), "b", entry('r', 1));
     nowMs += 1_000;
-    reader.applyChanges(inEpoch(2, page("c", written('r', 2))), nowMs);
+    reader.applyChanges(inEpoch(2, page("c", entry('r', 2))), nowMs);
     nowMs += 2_001;
     reader.applyChanges(inEpoch(2, page()), nowMs);
     assertEquals(List.of("a", "b", "c"), names());
@@ -257,8 +257,8 @@
 
   @Test
   void entryRemovedAfterARestoreIsUnlistedAtOnce() {
-    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
+    applySnapshotIn(1, "a", entry('r', 1), "b", entry('r', 1), "c", entry('r', 1));
+    applySnapshotIn(2, "a", entry('r', 1), "b", entry('r', 1), "c", entry('r', 1));
     reader.applyChanges(inEpoch(2, page("a", EMPTY)), nowMs);
     assertEquals(List.of("b", "c"), names());
   }
@@ -267,7 +267,7 @@
   void pagesOfAPreviousEpochConfirmNothing() {
     applySnapshotIn(2, "a", READY);
     nowMs += 500;
-    reader.applySnapshot(inEpoch(1, page("a", LEAVING, "b", READY)), nowMs);
+    reader.applySnapshot(inEpoch(1, page("a", DRAINING, "b", READY)), nowMs);
     reader.confirm(new StorePosition(1, 90), nowMs);
     assertEquals(List.of("a"), names());
     assertEquals(500, reader.ageMs(nowMs));
@@ -279,24 +279,24 @@
     applySnapshotIn(1, "a", READY, "b", READY, "c", READY);
     applySnapshotIn(2, "a", READY);
     assertEquals(new StorePosition(2, 1), reader.knownEnd());
-    reader.applyChanges(inEpoch(2, page("a", LEAVING)), nowMs);
+    reader.applyChanges(inEpoch(2, page("a", DRAINING)), nowMs);
     assertEquals(new StorePosition(2, 1), reader.lastChange());
   }
 
   @Test
   void storeMayBeRestoredRepeatedly() {
-    applySnapshotIn(1, "a", written('r', 5), "b", written('r', 5));
+    applySnapshotIn(1, "a", entry('r', 5), "b", entry('r', 5));
     reader.applyChanges(inEpoch(1, page("a", EMPTY)), nowMs);
     for (long epoch = 2; epoch < 6; epoch++) {
-      applySnapshotIn(epoch, "a", written('r', 5), "b", written('r', 5));
+      applySnapshotIn(epoch, "a", entry('r', 5), "b", entry('r', 5));
       assertEquals(List.of("b"), names(), "epoch " + epoch);
     }
   }
 
   @Test
   void lateAnswerOfAPreviousEpochIsIgnored() {
-    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1));
-    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1));
+    applySnapshotIn(1, "a", entry('r', 1), "b", entry('r', 1));
+    applySnapshotIn(2, "a", entry('r', 1), "b", entry('r', 1));
     KeyedRecord late = new KeyedRecord(90, "a", EMPTY);
     reader.applyChanges(new KeyedPage(List.of(late), 91, 1), nowMs);
     assertEquals(List.of("a", "b"), names());
@@ -305,9 +305,9 @@
 
   @Test
   void entryWrittenAgainUnchangedStays() {
-    applySnapshotIn(1, "a", written('r', 1), "b", written('r', 1), "c", written('r', 1));
-    applySnapshotIn(2, "a", written('r', 1), "b", written('r', 1));
-    reader.applyChanges(inEpoch(2, page("c", written('r', 1))), nowMs);
+    applySnapshotIn(1, "a", entry('r', 1), "b", entry('r', 1), "c", entry('r', 1));
+    applySnapshotIn(2, "a", entry('r', 1), "b", entry('r', 1));
+    reader.applyChanges(inEpoch(2, page("c", entry('r', 1))), nowMs);
     nowMs += 2_001;
     reader.applyChanges(inEpoch(2, page()), nowMs);
     assertEquals(List.of("a", "b", "c"), names());
@@ -322,22 +322,22 @@
   @Test
   void eachChangeHasALaterPosition() {
     reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
-    StorePosition read = reader.lastChange();
+    StorePosition initial = reader.lastChange();
     reader.applySnapshot(page("b", READY, "c", READY), 0);
-    StorePosition dropped = reader.lastChange();
-    assertTrue(dropped.isAfter(read));
+    StorePosition removed = reader.lastChange();
+    assertTrue(removed.isAfter(initial));
     reader.applySnapshot(page("c", READY), 0);
-    StorePosition droppedAgain = reader.lastChange();
-    assertTrue(droppedAgain.isAfter(dropped), "the log was not written to in between");
-    reader.applyChanges(page("c", LEAVING), 0);
-    assertTrue(reader.lastChange().isAfter(droppedAgain), "read after a position beyond the end");
+    StorePosition removedAgain = reader.lastChange();
+    assertTrue(removedAgain.isAfter(removed), "the log was not written to in between");
+    reader.applyChanges(page("c", DRAINING), 0);
+    assertTrue(reader.lastChange().isAfter(removedAgain), "read after a position beyond the end");
   }
 
   @Test
   void peerThatKnowsTheRestReceivesOnlyChanges() {
     reader.applySnapshot(page("a", READY, "b", READY, "c", READY), 0);
     StorePosition known = reader.lastChange();
-    reader.applyChanges(page("a", LEAVING), 0);
+    reader.applyChanges(page("a", DRAINING), 0);
     reader.applyChanges(page("b", EMPTY), 0);
     assertEquals(Set.of("a", "b"), keysChangedSince(known));
     assertEquals(Set.of(), keysChangedSince(reader.lastChange()));
@@ -351,7 +351,7 @@
             new Decoder(), newer -> listing = newer, () -> nowMs, new HostLog("test"));
     peer.applySnapshot(new KeyedPage(reader.records(), reader.knownEnd().offset()), 0);
     StorePosition known = reader.lastChange();
-    reader.applyChanges(page("a", LEAVING), 0);
+    reader.applyChanges(page("a", DRAINING), 0);
     reader.applyChanges(page("b", EMPTY), 0);
     List<KeyedRecord> changes = reader.changesSince(known).orElseThrow();
     peer.applyChanges(new KeyedPage(changes, reader.knownEnd().offset()), 0);
@@ -388,7 +388,7 @@
     StorePosition before = reader.knownEnd();
     List<StorePosition> whileReading = new ArrayList<>();
     onDecode = () -> whileReading.add(reader.knownEnd());
-    reader.applyChanges(page("a", LEAVING, "b", READY, "c", READY), 0);
+    reader.applyChanges(page("a", DRAINING, "b", READY, "c", READY), 0);
     assertEquals(List.of(before, before, before), whileReading);
     assertTrue(reader.knownEnd().isAfter(before));
   }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/IncarnationGuardTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/IncarnationGuardTest.java
@@ -19,7 +19,7 @@
 
 /** Requests that are meant for a previous incarnation of an engine. */
 class IncarnationGuardTest {
-  private final List<String> sent = new ArrayList<>();
+  private final List<String> sentCommands = new ArrayList<>();
   private final List<HostIdentity> restarts = new ArrayList<>();
   private long reportedIncarnation = 1;
   private final IncarnationGuard guard = new IncarnationGuard(new Engine(), restarts::add);
@@ -31,13 +31,13 @@
 
     @Override
     public Future<Boolean> reserve(Endpoint engine, String ticket, long tokens, long holdMs) {
-      sent.add("reserve");
+      sentCommands.add("reserve");
       return Future.succeededFuture(true);
     }
 
     @Override
     public Future<Void> release(Endpoint engine, String ticket) {
-      sent.add("release");
+      sentCommands.add("release");
       return Future.succeededFuture();
     }
 
@@ -57,7 +57,7 @@
         100_000);
   }
 
-  private void listed(long incarnation) {
+  private void applyListing(long incarnation) {
     guard.updateListing(new HostListing(1, List.of(engine(incarnation)), Set.of(), List.of()));
   }
 
@@ -67,24 +67,24 @@
 
   @Test
   void leaseIsNotRenewedOnALaterIncarnation() {
-    listed(1);
+    applyListing(1);
     guard.reserve(engine(1), "t", 10, 10);
-    listed(2);
+    applyListing(2);
     assertRestarted(guard.reserve(engine(1), "t", 10, 10));
-    assertEquals(List.of("reserve"), sent);
+    assertEquals(List.of("reserve"), sentCommands);
     assertTrue(guard.reserve(engine(2), "t", 10, 10).succeeded());
   }
 
   @Test
   void memoryIsReleasedOnALaterIncarnationToo() {
-    listed(2);
+    applyListing(2);
     guard.release(engine(1), "t");
-    assertEquals(List.of("release"), sent);
+    assertEquals(List.of("release"), sentCommands);
   }
 
   @Test
   void reportOfALaterIncarnationIsNoSignOfLifeOfThePreviousOne() {
-    listed(1);
+    applyListing(1);
     assertTrue(guard.report(engine(1)).succeeded());
     reportedIncarnation = 2;
     assertRestarted(guard.report(engine(1)));
@@ -94,23 +94,23 @@
 
   @Test
   void outdatedListingIsIgnored() {
-    listed(1);
+    applyListing(1);
     reportedIncarnation = 2;
     guard.report(engine(1));
-    listed(1);
+    applyListing(1);
     assertRestarted(guard.reserve(engine(1), "t", 10, 10));
   }
 
   @Test
   void knownIncarnationInAReportIsNoRestart() {
-    listed(2);
+    applyListing(2);
     assertTrue(guard.report(engine(2)).succeeded());
     assertEquals(List.of(), restarts);
   }
 
   @Test
   void unknownIncarnationsAreNotCompared() {
-    listed(0);
+    applyListing(0);
     reportedIncarnation = 5;
     assertTrue(guard.report(engine(0)).succeeded());
     reportedIncarnation = 0;
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/NoOpEndpointEventPublisher.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/NoOpEndpointEventPublisher.java
@@ -6,7 +6,7 @@
 import org.fawndrum.state.HostAddress;
 import org.fawndrum.state.HostIdentity;
 
-/** For hosts without peers in tests. */
+/** Publishes nothing; for tests of hosts without peers. */
 final class NoOpEndpointEventPublisher implements EndpointEventPublisher {
   @Override
   public void publishCrashes(CrashUpdate crashes) {
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/PromptMemoryTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/PromptMemoryTest.java
@@ -249,9 +249,10 @@
     memory.release();
     assertEquals(List.of("e-1", "e-2"), engineControl.released);
     timers.runAll();
-    long again = engineControl.released.stream().filter("e-1"::equals).count() - 1;
+    long laterReleases = engineControl.released.stream().filter("e-1"::equals).count() - 1;
     assertTrue(
-        again * PromptMemory.RELEASE_INTERVAL_MS >= PromptMemory.MAX_LATE_MS, "only " + again);
+        laterReleases * PromptMemory.RELEASE_INTERVAL_MS >= PromptMemory.MAX_LATE_MS,
+        "only " + laterReleases);
     assertEquals(1, engineControl.released.stream().filter("e-2"::equals).count());
   }
 
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDrainTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/RelayDrainTest.java
@@ -46,7 +46,7 @@
   private static final long EXPIRED_MS = 7_650;
 
   /** The latest exit of a host with a grace period of 8 s, in milliseconds from the stop signal. */
-  private static final long GONE_MS = 7_850;
+  private static final long LATEST_EXIT_MS = 7_850;
 
   /**
    * Just before the host starts to close idle connections, in milliseconds from the stop signal.
@@ -61,8 +61,8 @@
 
   private static final long POLL_MS = 5;
 
-  /** The polling interval of a running host, in milliseconds. */
-  private static final long AWAKE_POLL_MS = 200;
+  /** Interval at which a running host records that it runs, in milliseconds. */
+  private static final long TICK_INTERVAL_MS = 200;
 
   /** How long a host is suspended, in milliseconds. */
   private static final long SUSPENDED_MS = 1_900;
@@ -80,7 +80,7 @@
   private final CompletableFuture<RelayServer.IncomingRequest> accepted = new CompletableFuture<>();
   private final RelayBounds bounds =
       new RelayBounds(false, 5_000, 2_000, 8_000, 0.2, 100, 10_000, 120);
-  private final PauseDetector awake = new PauseDetector(AWAKE_POLL_MS);
+  private final PauseDetector pauseDetector = new PauseDetector(TICK_INTERVAL_MS);
   private volatile long nowMs = STARTED_MS;
   private HostAddress address;
   private RelayDuty decisions;
@@ -163,7 +163,7 @@
             vertx, address, routes, new FixedCodec(), clock, accepted::complete, null, () -> true);
     drain =
         new RelayDrain(
-            vertx, callers, decisions, decisions::offer, () -> bounds, awake, clock, log);
+            vertx, callers, decisions, decisions::offer, () -> bounds, pauseDetector, clock, log);
   }
 
   @AfterEach
@@ -196,7 +196,7 @@
     await(blocked);
   }
 
-  private void atMs(long sinceSignalMs) {
+  private void advanceTo(long sinceSignalMs) {
     nowMs = STARTED_MS + sinceSignalMs;
   }
 
@@ -234,7 +234,7 @@
   void hostExitsOnlyAfterFinalAnswersWereDecided() throws Exception {
     CompletableFuture<Void> done = drain.start();
     blockDecisions();
-    atMs(EXPIRED_MS);
+    advanceTo(EXPIRED_MS);
     runTimers();
     assertEquals(1, decisions.queuedEvents(), "the final answers wait for the decision duty");
     assertFalse(done.isDone(), "the host exits before final answers were decided");
@@ -251,10 +251,10 @@
     await(callers.listen());
     sendRequest();
     await(accepted);
-    awake.recordTick(nowMs);
+    pauseDetector.recordTick(nowMs);
     nowMs += SUSPENDED_MS;
     CompletableFuture<Void> done = drain.start();
-    atMs(GONE_MS);
+    advanceTo(LATEST_EXIT_MS);
     await(done);
   }
 
@@ -264,7 +264,7 @@
     Future<HttpClientResponse> answer = sendRequest();
     RelayServer.IncomingRequest request = await(accepted);
     CompletableFuture<Void> done = drain.start();
-    atMs(EXPIRED_MS);
+    advanceTo(EXPIRED_MS);
     runTimers();
     assertFalse(done.isDone(), "the host exits although a caller has no answer");
     vertx.runOnContext(v -> request.http().response().setStatusCode(502).end());
@@ -300,16 +300,17 @@
     CompletableFuture<NetSocket> caller = new CompletableFuture<>();
     Consumer<RelayEvent> events = event -> connectBeforeDecided(event, caller);
     drain =
-        new RelayDrain(vertx, callers, decisions, events, () -> bounds, awake, () -> nowMs, log);
+        new RelayDrain(
+            vertx, callers, decisions, events, () -> bounds, pauseDetector, () -> nowMs, log);
     await(callers.listen());
     CompletableFuture<Void> done = drain.start();
-    atMs(IDLE_CLOSE_MS + 1);
+    advanceTo(IDLE_CLOSE_MS + 1);
     NetSocket socket = await(caller);
     runTimers();
     assertFalse(done.isDone(), "the host exits although a request may be about to arrive");
     socket.write("GET / HTTP/1.1\r\nhost: h\r\n\r\n");
     RelayServer.IncomingRequest request = await(accepted);
-    atMs(EXPIRED_MS);
+    advanceTo(EXPIRED_MS);
     runTimers();
     assertFalse(done.isDone(), "the host exits although it read a request and sent no answer");
     vertx.runOnContext(v -> request.http().response().setStatusCode(503).end());
@@ -320,16 +321,16 @@
   void newConnectionIsNotClosedBeforeItsRequestCanArrive() throws Exception {
     await(callers.listen());
     CompletableFuture<Void> done = drain.start();
-    atMs(IDLE_CLOSE_MS);
+    advanceTo(IDLE_CLOSE_MS);
     CompletableFuture<Void> closed = new CompletableFuture<>();
     await(vertx.createNetClient().connect(address.port(), address.ip()))
         .closeHandler(v -> closed.complete(null));
     awaitConnection();
-    atMs(IDLE_CLOSE_MS + NEW_CONNECTION_GRACE_MS - 1);
+    advanceTo(IDLE_CLOSE_MS + NEW_CONNECTION_GRACE_MS - 1);
     runTimers();
     assertFalse(closed.isDone(), "closed before its first request could arrive");
     assertFalse(done.isDone(), "the host exits although a request may be about to arrive");
-    atMs(IDLE_CLOSE_MS + NEW_CONNECTION_GRACE_MS);
+    advanceTo(IDLE_CLOSE_MS + NEW_CONNECTION_GRACE_MS);
     await(closed);
     await(done);
   }
@@ -341,7 +342,7 @@
     await(accepted);
     CompletableFuture<Void> done = drain.start();
     blockDecisions();
-    atMs(GONE_MS);
+    advanceTo(LATEST_EXIT_MS);
     await(done);
   }
 
@@ -350,7 +351,14 @@
     RelayBounds shortest = new RelayBounds(false, 5_000, 2_000, 100, 0.2, 100, 10_000, 120);
     drain =
         new RelayDrain(
-            vertx, callers, decisions, decisions::offer, () -> shortest, awake, () -> nowMs, log);
+            vertx,
+            callers,
+            decisions,
+            decisions::offer,
+            () -> shortest,
+            pauseDetector,
+            () -> nowMs,
+            log);
     blockDecisions();
     await(drain.start());
   }
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/ReportBufferTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/ReportBufferTest.java
@@ -15,9 +15,9 @@
 
   private final ReportBuffer buffer = new ReportBuffer();
 
-  private static FleetReport report(long sequence, boolean whole) {
+  private static FleetReport report(long sequence, boolean complete) {
     return new FleetReport(
-        FROM, Optional.empty(), sequence, FleetReport.ALL_ZONES, whole, List.of());
+        FROM, Optional.empty(), sequence, FleetReport.ALL_ZONES, complete, List.of());
   }
 
   @Test
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/TopicFollowerTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/TopicFollowerTest.java
@@ -40,19 +40,19 @@
   private static final class ManualLog implements KeyedLog {
     final Deque<CompletableFuture<KeyedPage>> pending = new ArrayDeque<>();
     final List<Long> waits = new ArrayList<>();
-    final List<Long> reads = new ArrayList<>();
-    volatile int newest;
+    final List<Long> readOffsets = new ArrayList<>();
+    volatile int newestQueries;
 
     @Override
     public CompletableFuture<KeyedPage> newest(Topic topic) {
-      newest++;
+      newestQueries++;
       return query();
     }
 
     @Override
     public CompletableFuture<KeyedPage> read(Topic topic, long from, long waitMs) {
       waits.add(waitMs);
-      reads.add(from);
+      readOffsets.add(from);
       return query();
     }
 
@@ -100,7 +100,7 @@
   }
 
   /** Waits for this many milliseconds. */
-  private void elapsed(long afterMs) throws Exception {
+  private void elapse(long afterMs) throws Exception {
     CompletableFuture<Void> elapsed = new CompletableFuture<>();
     vertx.setTimer(afterMs, id -> elapsed.complete(null));
     elapsed.get();
@@ -112,7 +112,7 @@
     vertx.setPeriodic(
         5,
         id -> {
-          if (log.newest == times) {
+          if (log.newestQueries == times) {
             queried.complete(null);
           }
         });
@@ -174,8 +174,8 @@
     leader = false;
     ageMs = MAX_AGE_MS - 1;
     start();
-    elapsed(300);
-    assertEquals(0, log.newest);
+    elapse(300);
+    assertEquals(0, log.newestQueries);
   }
 
   @Test
@@ -192,7 +192,7 @@
     log.answer(new KeyedPage(List.of(), 3));
     knownEnd = new StorePosition(0, 9);
     log.answer(new KeyedPage(List.of(), 3));
-    assertEquals(List.of(3L, 9L), log.reads);
+    assertEquals(List.of(3L, 9L), log.readOffsets);
   }
 
   @Test
@@ -212,7 +212,7 @@
     assertEquals(List.of(), confirmed);
     log.answer(new KeyedPage(List.of(RECORD), 4, 2));
     assertEquals(2, snapshots.size());
-    assertEquals(List.of(9L, 4L), log.reads);
+    assertEquals(List.of(9L, 4L), log.readOffsets);
   }
 
   @Test
@@ -221,9 +221,9 @@
     log.answer(new KeyedPage(List.of(), 3, 2));
     log.answer(new KeyedPage(List.of(RECORD), 90, 1));
     assertTrue(confirmed.isEmpty());
-    assertEquals(List.of(3L), log.reads);
-    elapsed(300);
-    assertEquals(List.of(3L, 3L), log.reads);
+    assertEquals(List.of(3L), log.readOffsets);
+    elapse(300);
+    assertEquals(List.of(3L, 3L), log.readOffsets);
   }
 
   @Test
@@ -233,7 +233,7 @@
     knownEnd = new StorePosition(2, 7);
     log.answer(new KeyedPage(List.of(), 90, 1));
     log.answer(new KeyedPage(List.of(RECORD), 8, 2));
-    assertEquals(List.of(90L, 7L, 8L), log.reads);
+    assertEquals(List.of(90L, 7L, 8L), log.readOffsets);
     assertEquals(1, snapshots.size());
   }
 }
