--- a/org.fawndrum/src/org/fawndrum/transport/relay/EntryChanges.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/EntryChanges.java
@@ -16,7 +16,7 @@
   /** Maximum number of changes that are kept; a peer that lacks more receives all entries. */
   static final int MAX_KEPT = 1_024;
 
-  /** In the order of the changes. */
+  /** The position of the last change of each key, in the order of the changes. */
   private final Map<String, StorePosition> positions = new LinkedHashMap<>();
 
   private StorePosition lastChange = StorePosition.NONE;
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetListener.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetListener.java
@@ -16,7 +16,7 @@
   /** Called when another daemon counts as crashed. */
   void daemonGone(HostIdentity daemon);
 
-  /** Called when all of this host's work is to be reported. */
+  /** Called when all of this host's work is to be reported; {@code reply} accepts the work. */
   void workRequested(Consumer<List<EngineUpdate>> reply);
 
   /** Called when another daemon reported endpoints that crashed during requests. */
--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
@@ -24,7 +24,7 @@
   private final StoreSync storeSync;
   private final HostClock clock;
 
-  /** The store state that is cached by this host and by its peers. */
+  /** Exchanges cached store state with peers. */
   interface StoreSync {
     /** Returns the reply to a peer's query. */
     PeerMessage.Builder reply(KnowledgeRequest request);
--- a/org.fawndrum/src/org/fawndrum/transport/relay/PromptMemory.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/PromptMemory.java
@@ -202,9 +202,10 @@
   }
 
   /**
-   * Asks one of the helper engines, in turn, whether this request may still use its memory; fails
-   * if it does not, or if no answer arrives. Helper engines learn of the request's completion from
-   * its own engine, even if that engine reports nothing to this host.
+   * Requests the report of one of the helper engines, in turn, to determine whether this request
+   * may still use its memory; fails if it does not, or if no answer arrives. Helper engines learn
+   * of the request's completion from its own engine, even if that engine reports nothing to this
+   * host.
    *
    * <p>This releases unused memory within 3 s if an engine is alive but has dropped the request.
    * Without it, the memory stayed reserved until the caller's deadline.
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
@@ -63,7 +63,7 @@
    * Creates a drain that has not started.
    *
    * @param events delivers events to the decision duty without losing any
-   * @param pauseDetector tells since when the stop signal may have been pending
+   * @param pauseDetector determines since when the stop signal may have been pending
    */
   RelayDrain(
       Vertx vertx,
--- a/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointConnectionsTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/relay/EndpointConnectionsTest.java
@@ -21,8 +21,8 @@
   private static final long TIMEOUT_S = 20;
 
   /**
-   * The client pools a connection only shortly after its answer arrived; this many requests
-   * suffice.
+   * Maximum number of requests until one reuses a connection: the client pools a connection a
+   * moment after its answer arrived, so the next request may still open a new one.
    */
   private static final int MAX_REQUESTS = 1_000;
 
