--- a/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/FleetReceiver.java
@@ -24,7 +24,7 @@
   private final StoreSync storeSync;
   private final HostClock clock;
 
-  /** The store state that is cached by this host and by its peers. */
+  /** Exchanges cached store state with peers. */
   interface StoreSync {
     /** Returns the reply to a peer's query. */
     PeerMessage.Builder reply(KnowledgeRequest request);
@@ -53,7 +53,7 @@
     FleetMember sender = FleetCodec.read(message.getSender());
     List<FleetReport> reports =
         message.getReportsList().stream().map(report -> FleetCodec.read(report, nowMs)).toList();
-    List<FleetMember> known = message.getKnownList().stream().map(FleetCodec::read).toList();
+    List<FleetMember> knownMembers = message.getKnownList().stream().map(FleetCodec::read).toList();
     PeerCrashReport crashes =
         new PeerCrashReport(
             sender.address(),
@@ -63,7 +63,7 @@
     List<HostIdentity> shuttingDown = FleetCodec.readEndpoints(message.getLeavingList());
     fleet.accept(
         new FleetEvent.MessageReceived(
-            sender, message.getSubscribes(), reports, known, crashes, shuttingDown));
+            sender, message.getSubscribes(), reports, knownMembers, crashes, shuttingDown));
     storeSync.peerUpdated(
         sender,
         new StorePositions(
