--- a/org.fawndrum.daemon/tst/org/fawndrum/daemon/BadInputTest.java
+++ b/org.fawndrum.daemon/tst/org/fawndrum/daemon/BadInputTest.java
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void bodiesThatAreNotChatRequests() throws IOException {
+  void bodiesThatAreNotChatRequestsAreRefused() throws IOException {
     assertRefused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "no json");
     assertRefused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "");
     assertRefused(400, "invalid_request", TestSite.CHAT_KEY, CHAT, "null");
@@ -80,21 +80,21 @@
   }
 
   @Test
-  void sizesAboveTheLimits() throws IOException {
+  void sizesAboveTheLimitsAreRefused() throws IOException {
     assertRefused(
         400, "prompt_too_long", TestSite.CHAT_KEY, CHAT, chat("\"m\"", "x".repeat(700_000)));
     assertRefused(413, "body_too_large", TestSite.CHAT_KEY, CHAT, "x".repeat(2_000_000));
   }
 
   @Test
-  void unknownCallersAndTargets() throws IOException {
+  void unknownCallersAndTargetsAreRefused() throws IOException {
     assertRefused(401, "unknown_key", "no such key", CHAT, chat("\"m\"", "x"));
     assertRefused(404, "no_route", TestSite.CHAT_KEY, "/orders/1", "{}");
     assertRefused(503, "no_endpoint", TestSite.CHAT_KEY, CHAT, chat("\"other\"", "x"));
   }
 
   @Test
-  void oversizedHeadersAndIncompleteRequests() throws IOException {
+  void oversizedHeadersAndIncompleteRequestsAreRefused() throws IOException {
     assertError(
         "headers_too_large", raw("GET / HTTP/1.1\r\nx: " + "y".repeat(20_000) + "\r\n\r\n"));
     String incomplete =
--- a/org.fawndrum.daemon/tst/org/fawndrum/daemon/WholePathTest.java
+++ b/org.fawndrum.daemon/tst/org/fawndrum/daemon/WholePathTest.java
@@ -56,8 +56,8 @@
 
   @Test
   void answerIsCompleteDespiteTruncatedReorderedRepeatedAndMissingChunks() throws IOException {
-    int one = site.engine("engine-1", "a");
-    int two = site.engine("engine-2", "a");
+    int firstEngine = site.engine("engine-1", "a");
+    int secondEngine = site.engine("engine-2", "a");
     EntryHostRuntime host = site.host("host-a", "a");
     site.publishTable(host);
     site.ready(host);
@@ -68,14 +68,16 @@
             new Faults(null, null, null, null, null, null, true, null),
             new Faults(true, null, null, null, null, null, null, null));
     for (Faults fault : faults) {
-      site.engineFaults(one, fault);
+      site.engineFaults(firstEngine, fault);
       for (int i = 0; i < 4; i++) {
         String prompt = "prompt " + i;
         assertEquals(AnswerText.fullText(prompt, 12), content(site.chat(host, prompt, 12)));
       }
-      site.engineFaults(one, NONE);
+      site.engineFaults(firstEngine, NONE);
     }
-    TestSite.until("no streams are held", () -> heldStreams(one) == 0 && heldStreams(two) == 0);
+    TestSite.until(
+        "no streams are held",
+        () -> heldStreams(firstEngine) == 0 && heldStreams(secondEngine) == 0);
   }
 
   private long heldStreams(int port) {
@@ -87,7 +89,7 @@
   }
 
   @Test
-  void nonRepeatableCallRunsOnceWhenItsAnswerIsLost() throws IOException {
+  void nonRepeatableRequestRunsOnceWhenItsAnswerIsLost() throws IOException {
     int plain = site.plain("ordering-1", "a");
     site.plain("ordering-2", "a");
     site.startStandardSite();
@@ -107,7 +109,7 @@
   }
 
   @Test
-  void callRefusedByTheServiceRunsOnceThroughAnotherHost() throws IOException {
+  void requestRefusedByTheServiceRunsOnceThroughAnotherHost() throws IOException {
     int plain = site.plain("ordering-1", "a");
     site.startStandardSite();
     site.post(plain, "/faults", "", new PlainStandin.Faults(true, false, 0));
@@ -147,7 +149,7 @@
     EntryHostRuntime stopping = site.hosts.get(0);
     TestSite.until("peers know each other", () -> stopping.status().peers().size() == 2);
     assertEquals(OK, site.order(stopping, "k3", 0).statusCode());
-    TestSite.until("the order is over", () -> stopping.status().requestsOpen() == 0);
+    TestSite.until("the order is completed", () -> stopping.status().requestsOpen() == 0);
     CompletableFuture<HttpResponse<String>> inProgress =
         CompletableFuture.supplyAsync(() -> site.chat(stopping, "long answer", 600));
     TestSite.until("in progress", () -> stopping.status().requestsOpen() == 1);
@@ -208,11 +210,11 @@
     site.startStandardSite();
     long revision = site.hosts.get(0).status().tableRevision();
     site.platformFaults(new PlatformMessages.Faults(true, null, null, null, null));
-    EntryHostRuntime late = site.host("host-a2", "a");
-    TestSite.until("ready from peers", () -> "ready".equals(late.status().state()));
-    assertEquals(revision, late.status().tableRevision());
-    assertEquals(AnswerText.fullText("hi", 5), content(site.chat(late, "hi", 5)));
-    assertEquals("not_registered", code(site.order(late, "k4", 0)));
+    EntryHostRuntime newHost = site.host("host-a2", "a");
+    TestSite.until("ready from peers", () -> "ready".equals(newHost.status().state()));
+    assertEquals(revision, newHost.status().tableRevision());
+    assertEquals(AnswerText.fullText("hi", 5), content(site.chat(newHost, "hi", 5)));
+    assertEquals("not_registered", code(site.order(newHost, "k4", 0)));
   }
 
   @Test
@@ -225,11 +227,11 @@
       assertEquals(OK, site.publish(host, "many-" + i, revision, List.of(change)).statusCode());
     }
     TestSite.until("a snapshot is in the log", () -> site.newestSnapshot() > 0);
-    long kept = site.newestSnapshot();
-    site.platformFaults(new PlatformMessages.Faults(null, null, null, null, kept));
-    EntryHostRuntime late = site.host("late", "c");
-    site.ready(late);
-    assertEquals(revisionOf(host), revisionOf(late));
+    long newestSnapshot = site.newestSnapshot();
+    site.platformFaults(new PlatformMessages.Faults(null, null, null, null, newestSnapshot));
+    EntryHostRuntime newHost = site.host("late", "c");
+    site.ready(newHost);
+    assertEquals(revisionOf(host), revisionOf(newHost));
   }
 
   private static long revisionOf(EntryHostRuntime host) {
@@ -238,10 +240,10 @@
 
   @Test
   void drainingEndpointReceivesNoNewWorkFromAnyHost() throws IOException {
-    int one = site.engine("engine-0", "a");
+    int draining = site.engine("engine-0", "a");
     site.startStandardSite();
     site.platformFaults(new PlatformMessages.Faults(null, null, null, 600_000, null));
-    site.engineFaults(one, new Faults(null, null, true, null, null, null, null, null));
+    site.engineFaults(draining, new Faults(null, null, true, null, null, null, null, null));
     for (EntryHostRuntime host : site.hosts) {
       TestSite.until(
           "known to be shutting down",
@@ -259,10 +261,10 @@
     CompletableFuture<Integer> load = CompletableFuture.supplyAsync(() -> callAll(live));
     for (int i = 0; i < 2; i++) {
       EntryHostRuntime old = site.hosts.get(i);
-      EntryHostRuntime fresh = site.host("host-new-" + i, i == 0 ? "a" : "b");
-      site.ready(fresh);
+      EntryHostRuntime successor = site.host("host-new-" + i, i == 0 ? "a" : "b");
+      site.ready(successor);
       TestSite.until("successors are known", () -> old.status().peers().size() >= 2);
-      live.add(fresh);
+      live.add(successor);
       live.remove(old);
       old.drain().join();
       assertEquals("drained", old.status().state());
@@ -274,7 +276,8 @@
   }
 
   /**
-   * Sends calls like clients of a load balancer, which retry a refusal with "not run" elsewhere.
+   * Sends calls like clients of a load balancer, which retry a request that did not run at another
+   * host.
    */
   private int callAll(List<EntryHostRuntime> live) {
     int calls = 60;
--- a/org.fawndrum/src/org/fawndrum/errors/BadEntryException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/BadEntryException.java
@@ -8,7 +8,7 @@
   private static final long serialVersionUID = 1L;
 
   /** Creates the exception for one field, by its name in the entry. */
-  public BadEntryException(String part) {
-    super(MessageText.BAD_ENTRY, part);
+  public BadEntryException(String field) {
+    super(MessageText.BAD_ENTRY, field);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/errors/OperatorCallFailedException.java
+++ b/org.fawndrum/src/org/fawndrum/errors/OperatorCallFailedException.java
@@ -3,7 +3,7 @@
 
 import org.fawndrum.internal.text.MessageText;
 
-/** A daemon rejected a call of its operator API. */
+/** A daemon answered a call of its operator API with an error. */
 public final class OperatorCallFailedException extends FawndrumException {
   private static final long serialVersionUID = 1L;
 
--- a/org.fawndrum/src/org/fawndrum/internal/duty/Duty.java
+++ b/org.fawndrum/src/org/fawndrum/internal/duty/Duty.java
@@ -134,15 +134,15 @@
   }
 
   private void run() {
-    long nextTick = System.nanoTime();
+    long nextTickNanos = System.nanoTime();
     while (!stopping) {
       int handled = handleBatch();
-      long now = System.nanoTime();
-      boolean due = now - nextTick >= 0 || tickAfterEvents && handled > 0;
+      long nowNanos = System.nanoTime();
+      boolean due = nowNanos - nextTickNanos >= 0 || tickAfterEvents && handled > 0;
       if (due) {
-        nextTick = now + runTick() * NANOS_PER_MS;
+        nextTickNanos = nowNanos + runTick() * NANOS_PER_MS;
       } else if (handled == 0) {
-        LockSupport.parkNanos(nextTick - now);
+        LockSupport.parkNanos(nextTickNanos - nowNanos);
       }
     }
   }
--- a/org.fawndrum/src/org/fawndrum/internal/duty/StopThread.java
+++ b/org.fawndrum/src/org/fawndrum/internal/duty/StopThread.java
@@ -10,7 +10,7 @@
   private StopThread() {}
 
   /**
-   * Waits until a thread terminates, for two seconds at most. If the caller is interrupted, this
+   * Waits until a thread terminates, at most two seconds. If the caller is interrupted, this
    * returns at once with the interrupt flag set.
    */
   public static void call(Thread thread) {
--- a/org.fawndrum/src/org/fawndrum/internal/log/LogEvent.java
+++ b/org.fawndrum/src/org/fawndrum/internal/log/LogEvent.java
@@ -59,7 +59,7 @@
   REQUEST_CRASHES_ENDPOINTS(
       67, Level.WARN, "request {0} rejected: endpoints crashed while they had it: {1}"),
   HOST_SUSPENDED(68, Level.WARN, "this host was suspended for {0} ms"),
-  REJECTION_CLEARED(69, Level.INFO, "request {0} released from quarantine by the settings"),
+  REJECTION_CLEARED(69, Level.INFO, "rejection of request {0} cleared by the settings"),
   OPERATOR_PUBLISHED(70, Level.INFO, "operator {0} published {1}: {2}"),
   ENDPOINT_NOTICE(
       71, Level.INFO, "endpoint {0} sent a notice: shutting down: {1}, backoff: {2} ms"),
--- a/org.fawndrum/src/org/fawndrum/protocol/CrashCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/CrashCodec.java
@@ -28,10 +28,11 @@
   /**
    * Encodes updates.
    *
-   * @param whole whether the updates are everything that this host knows
+   * @param complete whether the updates contain everything that this host knows
    */
-  public static CrashReport write(CrashUpdate updates, boolean whole, long nowMs) {
-    CrashReport.Builder report = CrashReport.newBuilder().setWhole(whole).setHops(updates.hops());
+  public static CrashReport write(CrashUpdate updates, boolean complete, long nowMs) {
+    CrashReport.Builder report =
+        CrashReport.newBuilder().setWhole(complete).setHops(updates.hops());
     for (EndpointCrash crash : updates.crashes()) {
       CrashRecord.Builder message =
           CrashRecord.newBuilder()
@@ -42,27 +43,27 @@
       crash.requests().forEach(request -> message.addUnder(write(request)));
       report.addCrashes(message);
     }
-    for (AnsweredRequest served : updates.answered()) {
+    for (AnsweredRequest answered : updates.answered()) {
       report.addServed(
           ServedRecord.newBuilder()
-              .setRequest(write(served.request()))
-              .setAgeMs(nowMs - served.atMs()));
+              .setRequest(write(answered.request()))
+              .setAgeMs(nowMs - answered.atMs()));
     }
-    for (RejectedRequest refused : updates.rejected()) {
+    for (RejectedRequest rejected : updates.rejected()) {
       report.addRefused(
           RefusedRecord.newBuilder()
-              .setRequest(write(refused.request()))
-              .setAgeMs(nowMs - refused.sinceMs())
-              .addAllEndpoints(refused.endpoints()));
+              .setRequest(write(rejected.request()))
+              .setAgeMs(nowMs - rejected.sinceMs())
+              .addAllEndpoints(rejected.endpoints()));
     }
     for (ExecutionLease lease : updates.leases()) {
       report.addTurns(leaseRecord(lease.request(), lease.host()).setAgeMs(nowMs - lease.atMs()));
     }
-    for (InconclusiveRuns lease : updates.inconclusiveRuns()) {
+    for (InconclusiveRuns runs : updates.inconclusiveRuns()) {
       report.addSpent(
-          leaseRecord(lease.request(), lease.host())
-              .setAgeMs(nowMs - lease.lastStartedMs())
-              .setSpent(lease.count()));
+          leaseRecord(runs.request(), runs.host())
+              .setAgeMs(nowMs - runs.lastStartedMs())
+              .setSpent(runs.count()));
     }
     return report.build();
   }
@@ -92,9 +93,9 @@
                     new AnsweredRequest(
                         read(message.getRequest()), timeOfAge(message.getAgeMs(), nowMs)))
             .toList(),
-        report.getRefusedList().stream().map(message -> refused(message, nowMs)).toList(),
+        report.getRefusedList().stream().map(message -> rejected(message, nowMs)).toList(),
         report.getTurnsList().stream().map(message -> lease(message, nowMs)).toList(),
-        report.getSpentList().stream().map(message -> spent(message, nowMs)).toList(),
+        report.getSpentList().stream().map(message -> inconclusiveRuns(message, nowMs)).toList(),
         report.getHops());
   }
 
@@ -104,7 +105,7 @@
         read(message.getRequest()), host, timeOfAge(message.getAgeMs(), nowMs));
   }
 
-  private static InconclusiveRuns spent(TurnRecord message, long nowMs) {
+  private static InconclusiveRuns inconclusiveRuns(TurnRecord message, long nowMs) {
     ExecutionLease lastLease = lease(message, nowMs);
     return new InconclusiveRuns(
         lastLease.request(), lastLease.host(), message.getSpent(), lastLease.atMs());
@@ -113,16 +114,16 @@
   private static EndpointCrash crash(CrashRecord message, long nowMs) {
     HostIdentity endpoint =
         new HostIdentity(message.getEndpoint(), message.getEndpointIncarnation());
-    Set<RequestFingerprint> under =
+    Set<RequestFingerprint> requests =
         message.getUnderList().stream().map(CrashCodec::read).collect(Collectors.toSet());
     return new EndpointCrash(
         endpoint,
         timeOfAge(message.getTakenAgeMs(), nowMs),
         timeOfAge(message.getAgeMs(), nowMs),
-        under);
+        requests);
   }
 
-  private static RejectedRequest refused(RefusedRecord message, long nowMs) {
+  private static RejectedRequest rejected(RefusedRecord message, long nowMs) {
     return new RejectedRequest(
         read(message.getRequest()),
         timeOfAge(message.getAgeMs(), nowMs),
--- a/org.fawndrum/src/org/fawndrum/protocol/EngineMessages.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/EngineMessages.java
@@ -50,7 +50,7 @@
   /** Command to cancel a stream and free its resources. */
   public record Cancel(String attempt) {}
 
-  /** Rejection of a command; the request has not run and will not run. */
+  /** Refusal of a command; the request has not run and will not run. */
   public record NotRun(String ran, String reason, long retryAfterMs) {}
 
   /**
--- a/org.fawndrum/src/org/fawndrum/protocol/ErrorBodies.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/ErrorBodies.java
@@ -9,7 +9,7 @@
 public final class ErrorBodies {
   private ErrorBodies() {}
 
-  /** Returns the error body for a rejected request. */
+  /** Returns the error body for a refused request. */
   public static ErrorBody of(String requestId, Refusal refusal) {
     return new ErrorBody(
         new ErrorDetail(
--- a/org.fawndrum/src/org/fawndrum/protocol/FleetCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/FleetCodec.java
@@ -90,10 +90,10 @@
       message.addPlaced(placed(placed.job(), nowMs));
     } else if (update instanceof EngineUpdate.Prefilled prefilled) {
       message.addRead(prefilled.id());
-    } else if (update instanceof EngineUpdate.Completed failure && failure.failed()) {
-      message.addFailed(failure.id());
-    } else if (update instanceof EngineUpdate.Completed ended) {
-      message.addEnded(ended.id());
+    } else if (update instanceof EngineUpdate.Completed failed && failed.failed()) {
+      message.addFailed(failed.id());
+    } else if (update instanceof EngineUpdate.Completed completed) {
+      message.addEnded(completed.id());
     }
   }
 
--- a/org.fawndrum/src/org/fawndrum/protocol/LoadDigest.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/LoadDigest.java
@@ -32,7 +32,7 @@
   /** Load of one endpoint as reported by a peer; the endpoint is identified by its name hash. */
   public record Entry(int nameHash, LoadReport load, double freeFraction) {}
 
-  /** Returns the 24-bit hash of an endpoint's name; a collision costs time only. */
+  /** Returns the 24-bit hash of an endpoint's name; a collision only costs time. */
   public static int nameHash(String endpoint) {
     int hash = endpoint.hashCode() * 0x9e3779b9;
     return hash >>> 8 & NAME_MASK;
@@ -52,8 +52,8 @@
           bytes.put((byte) (hash >>> SHORT_BITS)).putShort((short) hash);
           int high = level(load.backlogFrom(HIGH_PRIORITY));
           bytes.put((byte) (high << NIBBLE_BITS | level(load.backlogFrom(0))));
-          long all = Math.max(1, memory.getOrDefault(name, 1L));
-          bytes.put((byte) clampToByte(load.freeTokens() * MAX_BYTE / all));
+          long memoryTokens = Math.max(1, memory.getOrDefault(name, 1L));
+          bytes.put((byte) clampToByte(load.freeTokens() * MAX_BYTE / memoryTokens));
           bytes.put((byte) clampToByte(load.tokensPerSecond() / THROUGHPUT_UNIT));
         });
     return bytes.array();
@@ -85,10 +85,10 @@
       double freeFraction = (bytes.get() & BYTE_MASK) / (double) MAX_BYTE;
       long throughput = (bytes.get() & BYTE_MASK) * THROUGHPUT_UNIT;
       long high = tokens(levels >>> NIBBLE_BITS);
-      long all = Math.max(high, tokens(levels & MAX_LEVEL));
+      long total = Math.max(high, tokens(levels & MAX_LEVEL));
       long[] backlog = new long[LoadReport.PRIORITIES];
       backlog[HIGH_PRIORITY] = high;
-      backlog[0] = all - high;
+      backlog[0] = total - high;
       entries.add(new Entry(name, new LoadReport(0, backlog, 0, 0, throughput), freeFraction));
     }
     return entries;
--- a/org.fawndrum/src/org/fawndrum/protocol/OperatorMessages.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/OperatorMessages.java
@@ -21,10 +21,10 @@
    * @param tablePosition the replayed log position
    * @param requestsOpen number of requests in progress
    * @param requestsWaiting number of requests that wait for an endpoint
-   * @param claimsRegistered whether the daemon serves calls that may not be repeated
+   * @param claimsRegistered whether the daemon serves requests that must not be repeated
    * @param endpointsOpen endpoints that accept new work
    * @param endpointsLeaving draining endpoints
-   * @param eventsRefused number of events that full ring buffers rejected since the start
+   * @param eventsRefused number of events that full ring buffers refused since the start
    * @param peers the status of the other daemons, as known here
    */
   public record Status(
@@ -44,7 +44,7 @@
       long eventsRefused,
       List<PeerStatus> peers) {}
 
-  /** Status of another daemon; {@code heardMsAgo} is the age of its last message. */
+  /** Status of another daemon; {@code heardMsAgo} is the age of its last heartbeat. */
   public record PeerStatus(
       String host,
       long incarnation,
@@ -54,7 +54,7 @@
       boolean draining,
       long heardMsAgo) {}
 
-  /** A decision about a request. */
+  /** A decision about a request; optional fields that do not apply to it are null. */
   public record DecisionView(
       String request,
       String workspace,
--- a/org.fawndrum/src/org/fawndrum/protocol/OperatorViews.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/OperatorViews.java
@@ -58,12 +58,12 @@
         decision.refusal().map(refusal -> refusal.ran().wireName()).orElse(null),
         decision.refusal().map(refusal -> refusal.retryAfterMs()).orElse(null),
         passedOver.isEmpty() ? null : passedOver,
-        decision.prefill().map(OperatorViews::reading).orElse(null));
+        decision.prefill().map(OperatorViews::prefill).orElse(null));
   }
 
-  private static ReadingView reading(Prefill reading) {
-    Long tookMs = reading.tookMs() == Prefill.PENDING ? null : reading.tookMs();
-    return new ReadingView(reading.engines(), reading.expectedMs(), tookMs);
+  private static ReadingView prefill(Prefill prefill) {
+    Long tookMs = prefill.tookMs() == Prefill.PENDING ? null : prefill.tookMs();
+    return new ReadingView(prefill.engines(), prefill.expectedMs(), tookMs);
   }
 
   private static String lowerCaseName(Enum<?> value) {
--- a/org.fawndrum/src/org/fawndrum/protocol/PeerCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/PeerCodec.java
@@ -109,7 +109,7 @@
     };
   }
 
-  /** Encodes the claim keys of a stopping host; times are sent as ages, because clocks differ. */
+  /** Encodes the claim keys of a retiring host; times are sent as ages, because clocks differ. */
   public static LedgerHandover handover(List<CallRegistry.HandedOverKey> entries, long nowMs) {
     LedgerHandover.Builder message = LedgerHandover.newBuilder();
     for (CallRegistry.HandedOverKey entry : entries) {
@@ -122,7 +122,7 @@
     return message.build();
   }
 
-  /** Decodes entries-over claim keys; skips entries with a malformed key. */
+  /** Decodes handed-over claim keys; skips entries with a malformed key. */
   public static List<CallRegistry.HandedOverKey> handoverEntries(
       LedgerHandover message, long nowMs) {
     List<CallRegistry.HandedOverKey> entries = new ArrayList<>();
--- a/org.fawndrum/src/org/fawndrum/protocol/SnapshotCodec.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/SnapshotCodec.java
@@ -54,16 +54,16 @@
     if (!digest(withoutDigest).equals(record.getDigest())) {
       throw new BadSnapshotException(record.getPosition());
     }
-    TableRevisionBuilder parts =
+    TableRevisionBuilder builder =
         new TableRevisionBuilder(record.getRevision(), record.getPosition());
     for (CellRecord cell : record.getCellsList()) {
-      parts.cell(keyOf(cell, record.getPosition()), cellOf(cell));
+      builder.cell(keyOf(cell, record.getPosition()), cellOf(cell));
     }
     Map<String, PublicationOutcome> outcomes = new LinkedHashMap<>();
     for (OutcomeRecord outcome : record.getOutcomesList()) {
       outcomes.put(outcome.getId(), outcomeOf(outcome, record.getPosition()));
     }
-    return parts.outcomes(outcomes).build();
+    return builder.outcomes(outcomes).build();
   }
 
   /** Returns the registrations in a snapshot. */
@@ -127,8 +127,8 @@
     } else if (outcome instanceof PublicationOutcome.Invalid invalid) {
       record.setKind(OutcomeRecord.Kind.INVALID);
       invalid.badCells().forEach(bad -> record.addBadCells(badCellRecord(bad)));
-    } else if (outcome instanceof PublicationOutcome.UnknownBaseRevision future) {
-      record.setKind(OutcomeRecord.Kind.FROM_THE_FUTURE).setEditedFrom(future.baseRevision());
+    } else if (outcome instanceof PublicationOutcome.UnknownBaseRevision unknownBase) {
+      record.setKind(OutcomeRecord.Kind.FROM_THE_FUTURE).setEditedFrom(unknownBase.baseRevision());
     } else {
       record.setKind(OutcomeRecord.Kind.ACCEPTED);
     }
--- a/org.fawndrum/src/org/fawndrum/protocol/TableCsv.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/TableCsv.java
@@ -24,7 +24,7 @@
 import org.fawndrum.state.Row;
 import org.fawndrum.state.TableRevision;
 
-/** Converts the table from and to CSV: a header line, then one line per caller group. */
+/** Converts the table from and to CSV for spreadsheets: a header, then a line per caller group. */
 public final class TableCsv {
   private static final String GROUP_HEADER = "group";
   private static final CsvMapper MAPPER =
--- a/org.fawndrum/src/org/fawndrum/state/Cell.java
+++ b/org.fawndrum/src/org/fawndrum/state/Cell.java
@@ -4,7 +4,7 @@
 /**
  * A published cell value and the publication that set it.
  *
- * @param value the value; null if the cell was cleared, which keeps the offset of the clearing
+ * @param value the value; null if the cell was cleared; its offset is then that of the clearing
  * @param offset the log offset of the publication that set it
  * @param operator the operator who published it
  */
--- a/org.fawndrum/src/org/fawndrum/state/EndpointKind.java
+++ b/org.fawndrum/src/org/fawndrum/state/EndpointKind.java
@@ -5,6 +5,6 @@
 public enum EndpointKind {
   /** A model engine that batches streams. */
   MODEL,
-  /** A plain service; some of its calls may not be repeated. */
+  /** A plain service; some of its requests must not be repeated. */
   PLAIN
 }
--- a/org.fawndrum/src/org/fawndrum/state/Route.java
+++ b/org.fawndrum/src/org/fawndrum/state/Route.java
@@ -53,10 +53,10 @@
    */
   public String service(double draw) {
     double sum = services.stream().mapToInt(WeightedService::weight).sum();
-    double left = draw * sum;
+    double remaining = draw * sum;
     for (WeightedService target : services) {
-      left -= target.weight();
-      if (left < 0) {
+      remaining -= target.weight();
+      if (remaining < 0) {
         return target.service();
       }
     }
--- a/org.fawndrum/src/org/fawndrum/state/RouteKind.java
+++ b/org.fawndrum/src/org/fawndrum/state/RouteKind.java
@@ -5,7 +5,7 @@
 public enum RouteKind {
   /** Idempotent requests, which may run any number of times. */
   SAFE,
-  /** Requests that may run at most once. */
+  /** Requests that must not be repeated: they run at most once. */
   UNSAFE,
   /** Requests answered by an event stream; run at most once unless the route allows resuming. */
   STREAM
--- a/org.fawndrum/src/org/fawndrum/transport/CallerResponse.java
+++ b/org.fawndrum/src/org/fawndrum/transport/CallerResponse.java
@@ -35,7 +35,7 @@
         .putHeader("x-request-id", requestId)
         .putHeader("x-fawndrum-ran", refusal.ran().wireName());
     if (refusal.kind() == RefusalKind.DRAINING) {
-      // Makes the caller reconnect, and a retry reach another host.
+      // Makes the caller reconnect, so that its retry reaches another host.
       response.putHeader("connection", "close");
     }
     if (refusal.retryAfterMs() >= 0) {
@@ -52,9 +52,8 @@
   static void refuseAndClose(HttpServerRequest request, String requestId, Refusal refusal) {
     request.response().putHeader("connection", "close");
     refuse(request.response(), requestId, refusal);
-    // The rest of the request is not read, so the connection cannot be reused. The caller gets 250
-    // ms
-    // to read the response before the connection is closed while it still writes.
+    // The rest of the request is not read, so the connection cannot be reused. The caller may still
+    // be writing; it gets 250 ms to read the response before the connection is closed.
     request.connection().shutdown(SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/CallerServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/CallerServer.java
@@ -24,17 +24,17 @@
   /** The path of model requests. */
   static final String CHAT_PATH = "/v1/chat/completions";
 
-  /** Maximum idleConnections time of a connection between two requests, in milliseconds. */
+  /** Maximum idle time of a connection between two requests, in milliseconds. */
   private static final long KEEP_ALIVE_MS = 60_000;
 
   private final Vertx vertx;
   private final HttpServer server;
-  private final BodyReader bodies;
+  private final BodyReader bodyReader;
   private final Keyring<CallerKey> keys;
   private final RequestIds ids;
   private final Intake intake;
   private final IdleConnections idleConnections;
-  private final TrustedConnections connections;
+  private final TrustedConnections trustedConnections;
 
   /** Accepts complete requests of authenticated callers. */
   interface Intake {
@@ -71,10 +71,10 @@
     this.vertx = vertx;
     this.ids = ids;
     this.intake = intake;
-    this.bodies =
+    this.bodyReader =
         new BodyReader(vertx, settings.limits().bodyBytes(), settings.limits().incompleteMs());
     this.keys = new Keyring<>(settings.callerKeys(), CallerKey::key);
-    this.connections = new TrustedConnections(vertx);
+    this.trustedConnections = new TrustedConnections(vertx);
     this.idleConnections =
         new IdleConnections(vertx, () -> settings.limits().incompleteMs(), () -> KEEP_ALIVE_MS);
     this.server =
@@ -99,15 +99,15 @@
 
   /** Called once this host is registered: connections opened later are trusted. */
   void registered() {
-    connections.registered();
+    trustedConnections.registered();
   }
 
   private void connectionOpened(HttpConnection connection) {
-    connections.opened(connection);
+    trustedConnections.opened(connection);
     idleConnections.opened(connection);
     connection.closeHandler(
         v -> {
-          connections.closed(connection);
+          trustedConnections.closed(connection);
           idleConnections.closed(connection);
         });
   }
@@ -126,7 +126,7 @@
       refuse(request, requestId, Refusal.notRun(RefusalKind.UNKNOWN_KEY));
       return;
     }
-    bodies
+    bodyReader
         .read(request, requestId)
         .thenAccept(
             body ->
@@ -137,7 +137,7 @@
                         request,
                         request.response(),
                         body,
-                        connections.trusted(request.connection()))))
+                        trustedConnections.trusted(request.connection()))))
         .exceptionally(
             failure -> {
               refuse(request, requestId, RefusedException.refusalOf(failure));
--- a/org.fawndrum/src/org/fawndrum/transport/ChatExchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ChatExchange.java
@@ -23,7 +23,7 @@
   private final HttpServerResponse response;
   private final Context context;
   private final EngineCalls engines;
-  private final AttemptListener attempts;
+  private final AttemptListener attemptListener;
   private final TokenListener tokenListener;
   private final ChatAnswerWriter writer;
   private final AnswerAssembler assembler = new AnswerAssembler();
@@ -31,7 +31,7 @@
   private Action.Send current;
   private boolean completed;
   private boolean firstTokenReported;
-  private boolean requestSent;
+  private boolean earlierRequestSent;
 
   ChatExchange(
       RequestFacts facts,
@@ -40,14 +40,14 @@
       HttpServerResponse response,
       Context context,
       EngineCalls engines,
-      AttemptListener attempts,
+      AttemptListener attemptListener,
       TokenListener tokenListener) {
     this.facts = facts;
     this.prompt = prompt;
     this.response = response;
     this.context = context;
     this.engines = engines;
-    this.attempts = attempts;
+    this.attemptListener = attemptListener;
     this.tokenListener = tokenListener;
     this.writer = new ChatAnswerWriter(response, facts, streamed);
   }
@@ -60,13 +60,13 @@
   @Override
   public void send(Action.Send send) {
     if (completed) {
-      attempts.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
+      attemptListener.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
     current = send;
     firstTokenReported = false;
     assembler.begin(send.attempt());
-    requestSent = anyRequestSent();
+    earlierRequestSent = anyRequestSent();
     stream = engines.stream(this);
     stream.start(send.endpoint().address(), order(send));
   }
@@ -121,7 +121,7 @@
     if (result == AnswerAssembler.Result.COMPLETE) {
       completed = true;
       stream.end();
-      attempts.onEvent(current.attempt(), AttemptEvent.ANSWERED);
+      attemptListener.onEvent(current.attempt(), AttemptEvent.ANSWERED);
       writer.end(assembler.position());
     } else if (result == AnswerAssembler.Result.TRUNCATED) {
       abortAttempt();
@@ -131,7 +131,7 @@
   private void reportFirstToken() {
     if (!firstTokenReported) {
       firstTokenReported = true;
-      attempts.onEvent(current.attempt(), AttemptEvent.ANSWERING);
+      attemptListener.onEvent(current.attempt(), AttemptEvent.ANSWERING);
     }
   }
 
@@ -153,7 +153,7 @@
     AttemptId attempt = current.attempt();
     stream.end();
     assembler.abandon();
-    attempts.onEvent(attempt, event);
+    attemptListener.onEvent(attempt, event);
   }
 
   @Override
@@ -184,7 +184,7 @@
 
   @Override
   public boolean anyRequestSent() {
-    return requestSent || stream != null && stream.requestSent();
+    return earlierRequestSent || stream != null && stream.requestSent();
   }
 
   @Override
--- a/org.fawndrum/src/org/fawndrum/transport/ClaimHandler.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ClaimHandler.java
@@ -18,19 +18,19 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * Resolves the claims of calls that must not be repeated before they are admitted: a call is
- * admitted only if it may run on this host. Confined to the decision thread.
+ * Resolves the claims of requests that must not be repeated: such a request is admitted only once
+ * its claim shows that it may run on this host. Confined to the decision thread.
  */
 final class ClaimHandler {
   private final ClaimCoordinator claims;
   private final Environment environment;
-  private final Map<String, PendingCall> waiting = new HashMap<>();
-  private final Map<String, ClaimKey> running = new HashMap<>();
+  private final Map<String, PendingCall> pendingCalls = new HashMap<>();
+  private final Map<String, ClaimKey> runningKeys = new HashMap<>();
 
   /** A call whose claim is not resolved yet. */
   private record PendingCall(RequestFacts facts, ClaimKey key, boolean callerGone) {}
 
-  /** Operations that claims need. Their results come back as events on the decision thread. */
+  /** Operations needed to resolve claims. Their results arrive as events on the decision thread. */
   interface Environment {
     /** Completes when the log is replayed to its current end; fails when it cannot be read. */
     CompletableFuture<Void> readLogToEnd();
@@ -62,21 +62,21 @@
   }
 
   void arrived(RequestFacts facts, HostEvent.ClaimInfo claim, long nowMs) {
-    waiting.put(facts.requestId(), new PendingCall(facts, claim.key(), false));
+    pendingCalls.put(facts.requestId(), new PendingCall(facts, claim.key(), false));
     carryOut(claims.arrive(facts.requestId(), claim.key(), claim.sending(), nowMs));
   }
 
   /** Called when a caller disconnected while the claim of its call was pending. */
   void callerGone(String requestId) {
-    PendingCall call = waiting.get(requestId);
+    PendingCall call = pendingCalls.get(requestId);
     if (call != null) {
-      waiting.put(requestId, new PendingCall(call.facts(), call.key(), true));
+      pendingCalls.put(requestId, new PendingCall(call.facts(), call.key(), true));
     }
   }
 
   /** Returns the number of calls whose claim is pending. */
-  int waiting() {
-    return waiting.size();
+  int pendingCount() {
+    return pendingCalls.size();
   }
 
   void tick(long nowMs) {
@@ -121,7 +121,7 @@
 
   /** Called when a request has its final answer; has no effect for a request without a claim. */
   void requestCompleted(String requestId, Ran ran, long nowMs) {
-    ClaimKey key = running.remove(requestId);
+    ClaimKey key = runningKeys.remove(requestId);
     if (key != null) {
       claims.recordOutcome(key, ran, nowMs);
     }
@@ -132,27 +132,27 @@
       claims.recordOutcome(call.key(), Ran.NO, environment.nowMs());
       return;
     }
-    running.put(call.facts().requestId(), call.key());
+    runningKeys.put(call.facts().requestId(), call.key());
     environment.admit(call.facts());
   }
 
   private void carryOut(List<ClaimAction> actions) {
     for (ClaimAction action : actions) {
       if (action instanceof ClaimAction.Run run) {
-        run(waiting.remove(run.requestId()));
+        run(pendingCalls.remove(run.requestId()));
       } else if (action instanceof ClaimAction.Refuse refuse) {
-        environment.refuse(waiting.remove(refuse.requestId()).facts(), refuse.refusal());
+        environment.refuse(pendingCalls.remove(refuse.requestId()).facts(), refuse.refusal());
       } else if (action instanceof ClaimAction.ReadLogToEnd read) {
         environment
             .readLogToEnd()
             .thenRun(() -> environment.enqueue(new HostEvent.LogReadForClaim(read.requestId())));
-      } else if (action instanceof ClaimAction.QueryHost ask) {
+      } else if (action instanceof ClaimAction.QueryHost query) {
         environment
-            .requestClaim(ask.identity(), ask.address(), ask.key())
+            .requestClaim(query.identity(), query.address(), query.key())
             .thenAccept(
                 answer ->
                     environment.enqueue(
-                        new HostEvent.ClaimAnswered(ask.identity(), ask.key(), answer)));
+                        new HostEvent.ClaimAnswered(query.identity(), query.key(), answer)));
       }
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/DecisionDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/DecisionDuty.java
@@ -37,11 +37,11 @@
   private final RequestCoordinator coordinator;
   private final HostIdentity self;
   private final String zone;
-  private final EndpointEligibility roster = new EndpointEligibility();
+  private final EndpointEligibility eligibility = new EndpointEligibility();
   private final HostClock clock;
   private final Consumer<HostIdentity> drainingListener;
   private final ClaimHandler claims;
-  private final Map<Integer, Endpoint> byNameHash = new HashMap<>();
+  private final Map<Integer, Endpoint> endpointsByNameHash = new HashMap<>();
   private final OpenExchanges exchanges;
   private final Duty<HostEvent> duty;
   private volatile View view = new View(0, 0, false, List.of(), List.of());
@@ -49,18 +49,18 @@
   /**
    * State published to other threads.
    *
-   * @param open the number of requests without a final answer
-   * @param waiting the number of requests waiting for an endpoint
-   * @param registered whether this host serves calls that must not be repeated
-   * @param endpoints the endpoints that may receive new work
-   * @param draining the endpoints that are shutting down
+   * @param openRequests the number of requests without a final answer
+   * @param waitingRequests the number of requests waiting for an endpoint
+   * @param registered whether this host serves requests that must not be repeated
+   * @param eligibleEndpoints the endpoints that may receive new work
+   * @param drainingEndpoints the endpoints that are shutting down
    */
   record View(
-      int open,
-      int waiting,
+      int openRequests,
+      int waitingRequests,
       boolean registered,
-      List<Endpoint> endpoints,
-      List<HostIdentity> draining) {}
+      List<Endpoint> eligibleEndpoints,
+      List<HostIdentity> drainingEndpoints) {}
 
   /** Access to the log and the other daemons for claims. */
   interface ClaimTransport {
@@ -182,19 +182,19 @@
 
   private void refreshView() {
     View before = view;
-    int open = coordinator.openCount() + claims.waiting();
-    boolean same =
-        before.open() == open
-            && before.waiting() == coordinator.waitingCount()
+    int open = coordinator.openCount() + claims.pendingCount();
+    boolean unchanged =
+        before.openRequests() == open
+            && before.waitingRequests() == coordinator.waitingCount()
             && before.registered() == claims.registered();
-    if (!same) {
+    if (!unchanged) {
       view =
           new View(
               open,
               coordinator.waitingCount(),
               claims.registered(),
-              before.endpoints(),
-              before.draining());
+              before.eligibleEndpoints(),
+              before.drainingEndpoints());
     }
   }
 
@@ -204,21 +204,21 @@
       arrived(arrived, nowMs);
     } else if (event instanceof HostEvent.AttemptUpdated attempted) {
       carryOut(coordinator.attemptEvent(attempted.attempt(), attempted.event(), nowMs));
-      forgetIfEnded(attempted.attempt().requestId());
-    } else if (event instanceof HostEvent.CallerDisconnected gone) {
-      claims.callerGone(gone.requestId());
-      carryOut(coordinator.callerGone(gone.requestId(), nowMs));
+      removeIfCompleted(attempted.attempt().requestId());
+    } else if (event instanceof HostEvent.CallerDisconnected disconnected) {
+      claims.callerGone(disconnected.requestId());
+      carryOut(coordinator.callerGone(disconnected.requestId(), nowMs));
     } else if (event instanceof HostEvent.TableChanged changed) {
       carryOut(coordinator.updateTable(changed.table(), nowMs));
     } else if (event instanceof HostEvent.HostsListed listed) {
-      listed(listed, nowMs);
-    } else if (event instanceof HostEvent.LoadReported loaded) {
-      loaded(loaded, nowMs);
-    } else if (event instanceof HostEvent.PeerLoadsReported reported) {
-      reported.loads().forEach(entry -> peerLoadReported(entry, nowMs));
+      hostsListed(listed, nowMs);
+    } else if (event instanceof HostEvent.LoadReported reported) {
+      loadReported(reported, nowMs);
+    } else if (event instanceof HostEvent.PeerLoadsReported report) {
+      report.loads().forEach(entry -> peerLoadReported(entry, nowMs));
     } else if (event instanceof HostEvent.EndpointDraining draining) {
-      if (roster.markDraining(draining.endpoint())) {
-        offerEndpoints(nowMs);
+      if (eligibility.markDraining(draining.endpoint())) {
+        updateEndpoints(nowMs);
       }
     } else if (event instanceof HostEvent.DrainRequested) {
       coordinator.beginShutdown(ShutdownWindow.CLOSED);
@@ -241,9 +241,9 @@
       claims.claimAnswered(answered, nowMs);
     } else if (event instanceof HostEvent.ClaimRequested requested) {
       claims.claimRequested(requested, nowMs);
-    } else if (event instanceof HostEvent.ClaimsHandedOver inherited) {
-      claims.inherit(inherited.claims());
-      inherited.acknowledge().run();
+    } else if (event instanceof HostEvent.ClaimsHandedOver handedOver) {
+      claims.inherit(handedOver.claims());
+      handedOver.acknowledge().run();
     } else if (event instanceof HostEvent.HandoverRequested requested) {
       requested.reply().accept(claims.handover());
     }
@@ -257,38 +257,38 @@
     }
   }
 
-  private void forgetIfEnded(String requestId) {
+  private void removeIfCompleted(String requestId) {
     if (!coordinator.isOpen(requestId)) {
       exchanges.remove(requestId);
       claims.requestCompleted(requestId, Ran.YES, clock.nowMs());
     }
   }
 
-  private void listed(HostEvent.HostsListed listed, long nowMs) {
-    if (roster.updateListing(listed.listing())) {
+  private void hostsListed(HostEvent.HostsListed listed, long nowMs) {
+    if (eligibility.updateListing(listed.listing())) {
       carryOut(
           coordinator.updateLimitFraction(
               LimitFractions.fraction(self, zone, listed.listing()), nowMs));
-      offerEndpoints(nowMs);
+      updateEndpoints(nowMs);
     }
   }
 
-  private void loaded(HostEvent.LoadReported loaded, long nowMs) {
-    Load load = loaded.load();
+  private void loadReported(HostEvent.LoadReported reported, long nowMs) {
+    Load load = reported.load();
     HostIdentity identity = new HostIdentity(load.host(), load.incarnation());
-    boolean changed = roster.incarnationAnswered(identity);
-    if (load.leaving() && roster.markDraining(identity)) {
+    boolean changed = eligibility.incarnationAnswered(identity);
+    if (load.leaving() && eligibility.markDraining(identity)) {
       drainingListener.accept(identity);
       changed = true;
     }
     if (changed) {
-      offerEndpoints(nowMs);
+      updateEndpoints(nowMs);
     }
     carryOut(coordinator.loadReported(identity, load.report(), nowMs));
   }
 
   private void peerLoadReported(LoadDigest.Entry entry, long nowMs) {
-    Endpoint endpoint = byNameHash.get(entry.nameHash());
+    Endpoint endpoint = endpointsByNameHash.get(entry.nameHash());
     if (endpoint == null) {
       return;
     }
@@ -302,29 +302,30 @@
     carryOut(coordinator.peerLoadReported(endpoint.identity(), load, nowMs));
   }
 
-  private void offerEndpoints(long nowMs) {
-    List<Endpoint> open = roster.eligible();
-    byNameHash.clear();
-    open.forEach(endpoint -> byNameHash.put(LoadDigest.nameHash(endpoint.name()), endpoint));
-    carryOut(coordinator.updateEndpoints(open, nowMs));
-    carryOut(coordinator.endpointsRestarted(roster::isSuperseded, nowMs));
+  private void updateEndpoints(long nowMs) {
+    List<Endpoint> eligible = eligibility.eligible();
+    endpointsByNameHash.clear();
+    eligible.forEach(
+        endpoint -> endpointsByNameHash.put(LoadDigest.nameHash(endpoint.name()), endpoint));
+    carryOut(coordinator.updateEndpoints(eligible, nowMs));
+    carryOut(coordinator.endpointsRestarted(eligibility::isSuperseded, nowMs));
     view =
         new View(
-            coordinator.openCount() + claims.waiting(),
+            coordinator.openCount() + claims.pendingCount(),
             coordinator.waitingCount(),
             claims.registered(),
-            open,
-            List.copyOf(roster.draining()));
+            eligible,
+            List.copyOf(eligibility.draining()));
   }
 
   private void carryOut(List<Action> actions) {
     carryOut(actions, true);
   }
 
-  private void carryOut(List<Action> actions, boolean exchangeKnows) {
+  private void carryOut(List<Action> actions, boolean unsentProvesNotRun) {
     exchanges.carryOut(
         actions,
         (requestId, refusal) -> claims.requestCompleted(requestId, refusal.ran(), clock.nowMs()),
-        exchangeKnows);
+        unsentProvesNotRun);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/EndpointPoller.java
+++ b/org.fawndrum/src/org/fawndrum/transport/EndpointPoller.java
@@ -21,10 +21,13 @@
   private final HostListSource platform;
   private final EngineCalls engines;
   private final DecisionDuty decisions;
-  private final Consumer<HostListing> listed;
+  private final Consumer<HostListing> listingListener;
   private final EnginePollShare share;
-  private final Map<String, LoadReport> loads = new ConcurrentHashMap<>();
+  private final Map<String, LoadReport> latestLoads = new ConcurrentHashMap<>();
+
+  /** Calls in progress by engine name; the empty name stands for the host list. */
   private final Map<String, Boolean> callsInProgress = new ConcurrentHashMap<>();
+
   private long listTimer;
   private long loadTimer;
 
@@ -33,9 +36,9 @@
       HostListSource platform,
       EngineCalls engines,
       DecisionDuty decisions,
-      Consumer<HostListing> listed,
+      Consumer<HostListing> listingListener,
       EnginePollShare share) {
-    this.listed = listed;
+    this.listingListener = listingListener;
     this.share = share;
     this.vertx = vertx;
     this.platform = platform;
@@ -64,30 +67,31 @@
             (listing, failure) -> {
               callsInProgress.remove("");
               if (listing != null) {
-                listed.accept(listing);
+                listingListener.accept(listing);
               }
             });
   }
 
   private void readLoads() {
-    share.enginesToPoll(decisions.view().endpoints()).forEach(this::readLoad);
+    share.enginesToPoll(decisions.view().eligibleEndpoints()).forEach(this::readLoad);
   }
 
   /**
-   * Returns the loads read since the last call of the engines that this host polls for its peers.
+   * Returns the encoded loads of the engines that this host polls for its peers, as far as they
+   * were read since the previous call.
    */
   byte[] digest() {
-    Map<String, LoadReport> reports = new HashMap<>();
-    Map<String, Long> memory = new HashMap<>();
-    for (Endpoint endpoint : share.ownEngines(decisions.view().endpoints())) {
-      LoadReport load = loads.get(endpoint.name());
+    Map<String, LoadReport> reportsByName = new HashMap<>();
+    Map<String, Long> memoryTokens = new HashMap<>();
+    for (Endpoint endpoint : share.ownEngines(decisions.view().eligibleEndpoints())) {
+      LoadReport load = latestLoads.get(endpoint.name());
       if (load != null) {
-        reports.put(endpoint.name(), load);
-        memory.put(endpoint.name(), endpoint.memoryTokens());
+        reportsByName.put(endpoint.name(), load);
+        memoryTokens.put(endpoint.name(), endpoint.memoryTokens());
       }
     }
-    loads.clear();
-    return LoadDigest.write(reports, memory);
+    latestLoads.clear();
+    return LoadDigest.write(reportsByName, memoryTokens);
   }
 
   private void readLoad(Endpoint endpoint) {
@@ -100,7 +104,7 @@
             (load, failure) -> {
               callsInProgress.remove(endpoint.name());
               if (load != null) {
-                loads.put(endpoint.name(), load.report());
+                latestLoads.put(endpoint.name(), load.report());
                 decisions.offer(new HostEvent.LoadReported(endpoint.identity(), load));
               }
             });
--- a/org.fawndrum/src/org/fawndrum/transport/EngineStream.java
+++ b/org.fawndrum/src/org/fawndrum/transport/EngineStream.java
@@ -47,9 +47,9 @@
     /**
      * Called when the call failed before the end marker of the stream.
      *
-     * @param sent whether any part of the request may have been sent
+     * @param mayHaveBeenSent whether any part of the request may have been sent
      */
-    void failed(boolean sent);
+    void failed(boolean mayHaveBeenSent);
   }
 
   EngineStream(Vertx vertx, HttpClientAgent client, long silenceMs, Listener listener) {
@@ -142,9 +142,9 @@
 
   private void fail() {
     if (!closed) {
-      boolean sent = requestSent;
+      boolean mayHaveBeenSent = requestSent;
       close();
-      listener.failed(sent);
+      listener.failed(mayHaveBeenSent);
     }
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/EntryHostRuntime.java
+++ b/org.fawndrum/src/org/fawndrum/transport/EntryHostRuntime.java
@@ -135,11 +135,11 @@
   private EndpointPoller endpointPoller(EngineCalls engines) {
     EnginePollShare share =
         new EnginePollShare(self.host(), settings.zone(), members::livingInZone);
-    return new EndpointPoller(vertx, platform, engines, decisions, this::listed, share);
+    return new EndpointPoller(vertx, platform, engines, decisions, this::updateListing, share);
   }
 
   private CallerServer callerServer(EngineCalls engines) {
-    ExchangeFactory exchanges = new ExchangeFactory(vertx, engines, this::attempted, metrics);
+    ExchangeFactory exchanges = new ExchangeFactory(vertx, engines, this::attemptUpdated, metrics);
     RequestIntake intake =
         new RequestIntake(vertx, settings.limits(), clock, tables, decisions, exchanges);
     return new CallerServer(vertx, settings, new RequestIds(self), intake);
@@ -180,7 +180,7 @@
     return new HostAddress(settings.peers().address().ip(), network.port());
   }
 
-  private void attempted(AttemptId attempt, AttemptEvent event) {
+  private void attemptUpdated(AttemptId attempt, AttemptEvent event) {
     offerWithRetry(new HostEvent.AttemptUpdated(attempt, event));
   }
 
@@ -201,7 +201,7 @@
     log.event(LogEvent.TABLE_IN_FORCE, Long.toString(table.revision()));
   }
 
-  private synchronized void listed(HostListing newer) {
+  private synchronized void updateListing(HostListing newer) {
     if (newer.version() <= listing.version()) {
       return;
     }
@@ -233,8 +233,7 @@
   private void register() {
     Registration own = new Registration(self, settings.zone(), peerAddress(), false);
     platform.append(LogCodec.registration(own));
-    // The confirmation may be lost, so this appends again until the registration is read from the
-    // log.
+    // The confirmation may be lost: appends again until the registration is read from the log.
     vertx.setTimer(
         REGISTER_RETRY_MS,
         id -> {
@@ -260,8 +259,8 @@
         table.position(),
         listing.version(),
         draining,
-        view.waiting(),
-        view.open());
+        view.waitingRequests(),
+        view.openRequests());
   }
 
   private void announceDraining(HostIdentity endpoint) {
@@ -313,7 +312,7 @@
 
     @Override
     public void accept(HostListing newer) {
-      listed(newer);
+      updateListing(newer);
     }
 
     @Override
@@ -329,12 +328,12 @@
 
   /**
    * Stops admitting requests. The returned future completes when the last request has its answer
-   * and the keys of calls that must not be repeated were handed over to peers.
+   * and the keys of requests that must not be repeated were handed over to peers.
    */
   public CompletableFuture<Void> drain() {
     if (!draining) {
       draining = true;
-      log.event(LogEvent.DRAIN_STARTED, Integer.toString(decisions.view().open()), 0);
+      log.event(LogEvent.DRAIN_STARTED, Integer.toString(decisions.view().openRequests()), 0);
       offerWithRetry(new HostEvent.DrainRequested());
       vertx.setPeriodic(DRAIN_CHECK_MS, this::checkDrained);
     }
@@ -342,7 +341,7 @@
   }
 
   private void checkDrained(long timer) {
-    boolean finished = decisions.ring().size() == 0 && decisions.view().open() == 0;
+    boolean finished = decisions.ring().size() == 0 && decisions.view().openRequests() == 0;
     if (finished && vertx.cancelTimer(timer)) {
       offerWithRetry(
           new HostEvent.HandoverRequested(keys -> vertx.runOnContext(v -> retire(keys))));
@@ -362,7 +361,7 @@
         .call(keys)
         .whenComplete(
             (handedOver, failure) -> {
-              log.event(LogEvent.DRAIN_COMPLETED, "no request was cut");
+              log.event(LogEvent.DRAIN_COMPLETED, "no request was aborted");
               drained.complete(null);
             });
   }
--- a/org.fawndrum/src/org/fawndrum/transport/ExchangeFactory.java
+++ b/org.fawndrum/src/org/fawndrum/transport/ExchangeFactory.java
@@ -15,21 +15,24 @@
   private static final int MAX_CONNECTIONS_PER_SERVICE = 256;
 
   private final EngineCalls engines;
-  private final AttemptListener attempts;
+  private final AttemptListener attemptListener;
   private final TokenListener tokenListener;
   private final HttpClientAgent pooledClient;
   private final HttpClientAgent singleUseClient;
 
   ExchangeFactory(
-      Vertx vertx, EngineCalls engines, AttemptListener attempts, TokenListener tokenListener) {
+      Vertx vertx,
+      EngineCalls engines,
+      AttemptListener attemptListener,
+      TokenListener tokenListener) {
     this.engines = engines;
-    this.attempts = attempts;
+    this.attemptListener = attemptListener;
     this.tokenListener = tokenListener;
     PoolOptions pool = new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS_PER_SERVICE);
     this.pooledClient =
         vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS), pool);
     // A service may close a pooled connection just as a call is written to it, which leaves the
-    // outcome unknown. Calls that must not be repeated therefore use a new connection each.
+    // outcome unknown. Requests that must not be repeated therefore use a new connection each.
     this.singleUseClient =
         vertx.createHttpClient(
             new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS).setKeepAlive(false),
@@ -43,7 +46,7 @@
       HttpServerResponse response,
       Context context) {
     return new ChatExchange(
-        facts, prompt, streamed, response, context, engines, attempts, tokenListener);
+        facts, prompt, streamed, response, context, engines, attemptListener, tokenListener);
   }
 
   Exchange plain(
@@ -52,6 +55,6 @@
       HttpServerResponse response,
       Context context) {
     HttpClientAgent client = facts.repeatable() ? pooledClient : singleUseClient;
-    return new PlainExchange(facts, call, response, context, client, attempts);
+    return new PlainExchange(facts, call, response, context, client, attemptListener);
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/HostEvent.java
+++ b/org.fawndrum/src/org/fawndrum/transport/HostEvent.java
@@ -19,10 +19,10 @@
 
 /** An event for the decision thread. */
 sealed interface HostEvent {
-  /** A request arrived; {@code claim} is null when it may be repeated or has no key. */
+  /** A request arrived; {@code claim} is null if it may be repeated or has no key. */
   record RequestArrived(RequestFacts facts, ClaimInfo claim) implements HostEvent {}
 
-  /** The key of a call that must not be repeated, and whether its headers mark it as a retry. */
+  /** The key of a request that must not be repeated, and whether it is marked as a retry. */
   record ClaimInfo(ClaimKey key, Sending sending) {}
 
   /** An attempt changed its state. */
--- a/org.fawndrum/src/org/fawndrum/transport/HostStatus.java
+++ b/org.fawndrum/src/org/fawndrum/transport/HostStatus.java
@@ -57,11 +57,11 @@
         follower.platformUp(),
         table.revision(),
         table.position(),
-        view.open(),
-        view.waiting(),
+        view.openRequests(),
+        view.waitingRequests(),
         view.registered(),
-        view.endpoints().stream().map(Endpoint::name).sorted().toList(),
-        view.draining().stream().map(HostIdentity::toString).sorted().toList(),
+        view.eligibleEndpoints().stream().map(Endpoint::name).sorted().toList(),
+        view.drainingEndpoints().stream().map(HostIdentity::toString).sorted().toList(),
         decisions.ring().refused() + feed.dropped(),
         peers());
   }
@@ -85,13 +85,15 @@
   private String readiness() {
     DecisionDuty.View view = decisions.view();
     boolean ready =
-        follower.everCaughtUp() && tables.table().revision() >= 0 && !view.endpoints().isEmpty();
+        follower.everCaughtUp()
+            && tables.table().revision() >= 0
+            && !view.eligibleEndpoints().isEmpty();
     if (ready && !readyLogged) {
       readyLogged = true;
       log.event(
           LogEvent.HOST_READY,
           Long.toString(tables.table().revision()),
-          Integer.toString(view.endpoints().size()));
+          Integer.toString(view.eligibleEndpoints().size()));
     }
     return ready ? "ready" : "starting";
   }
--- a/org.fawndrum/src/org/fawndrum/transport/LogFollower.java
+++ b/org.fawndrum/src/org/fawndrum/transport/LogFollower.java
@@ -35,16 +35,16 @@
   private static final long SNAPSHOT_RETRY_MS = 30_000;
 
   private final PlatformLog platform;
-  private final PlatformLog platformEnd;
+  private final PlatformLog platformWithoutWait;
   private final TableStore store;
   private final HostClock clock;
   private final LongFunction<Integer> snapshotRank;
-  private final Consumer<Registration> registrations;
+  private final Consumer<Registration> registrationListener;
   private final HostLog log;
   private final LogRecordReader reader;
   private final Thread thread;
   private final LogReplay replay = new LogReplay();
-  private final RegistrationTable book = new RegistrationTable();
+  private final RegistrationTable registrationTable = new RegistrationTable();
   private final ConcurrentLinkedQueue<SnapshotRecord> peerSnapshots = new ConcurrentLinkedQueue<>();
   private final Map<CompletableFuture<Void>, Long> awaitedOffsets = new ConcurrentHashMap<>();
   private volatile boolean platformUp;
@@ -63,25 +63,26 @@
    * Creates the follower; its thread runs once {@link #start} is called.
    *
    * @param platform the log, with reads that wait for records
-   * @param platformEnd the log, with reads that return at once
+   * @param platformWithoutWait the log, with reads that return at once
    * @param snapshotRank returns the rank of this host in the order in which hosts append the next
    *     snapshot, for the position of the last one
-   * @param registrations receives each registration in log order, on the thread of the follower
+   * @param registrationListener receives each registration in log order, on the thread of the
+   *     follower
    */
   LogFollower(
       PlatformLog platform,
-      PlatformLog platformEnd,
+      PlatformLog platformWithoutWait,
       TableStore store,
       HostClock clock,
       LongFunction<Integer> snapshotRank,
-      Consumer<Registration> registrations,
+      Consumer<Registration> registrationListener,
       HostLog log) {
     this.platform = platform;
-    this.platformEnd = platformEnd;
+    this.platformWithoutWait = platformWithoutWait;
     this.store = store;
     this.clock = clock;
     this.snapshotRank = snapshotRank;
-    this.registrations = registrations;
+    this.registrationListener = registrationListener;
     this.log = log;
     this.reader = new LogRecordReader(log);
     this.thread = new Thread(this::run, "log-follower");
@@ -110,8 +111,8 @@
   }
 
   /**
-   * Returns whether this host ever had the newest table available to it: the log replayed to its
-   * end, or a table of a peer while the platform was unavailable.
+   * Returns whether this host ever held the newest table that it could obtain: it replayed the log
+   * to its end, or adopted a table of a peer while the platform was unavailable.
    */
   boolean everCaughtUp() {
     return everCaughtUp;
@@ -133,7 +134,7 @@
    * the platform is unavailable or records are missing.
    */
   CompletableFuture<Void> readToEnd() {
-    return platformEnd
+    return platformWithoutWait
         .read(Math.max(0, replayedTo), 1)
         .thenCompose(
             batch -> {
@@ -184,8 +185,8 @@
   }
 
   private void registered(Registration registration) {
-    book.add(registration, clock.nowMs());
-    registrations.accept(registration);
+    registrationTable.add(registration, clock.nowMs());
+    registrationListener.accept(registration);
   }
 
   private void updatePlatformState(boolean up, String cause) {
@@ -222,7 +223,7 @@
     inGap = replay.inGap();
     replayedTo = replay.nextOffset();
     if (replay.table().position() > latest.table().position()) {
-      latest = new LatestTable(replay.table(), book.members(clock.nowMs()));
+      latest = new LatestTable(replay.table(), registrationTable.members(clock.nowMs()));
     }
   }
 
@@ -239,7 +240,7 @@
     nextSnapshotMs = nowMs + SNAPSHOT_RETRY_MS;
     String position = Long.toString(replay.table().position());
     platform
-        .append(LogCodec.snapshot(replay.table(), book.members(nowMs)))
+        .append(LogCodec.snapshot(replay.table(), registrationTable.members(nowMs)))
         .thenAccept(
             offset -> log.event(LogEvent.SNAPSHOT_APPENDED, position, Long.toString(offset)));
   }
--- a/org.fawndrum/src/org/fawndrum/transport/MalformedRequestHead.java
+++ b/org.fawndrum/src/org/fawndrum/transport/MalformedRequestHead.java
@@ -10,7 +10,7 @@
 public final class MalformedRequestHead {
   private MalformedRequestHead() {}
 
-  /** Returns the refusal for a request with a decoder failure. */
+  /** Returns the kind of refusal for a request with a decoder failure. */
   public static RefusalKind refusalKind(HttpServerRequest request) {
     Throwable cause = request.decoderResult().cause();
     boolean tooLarge =
--- a/org.fawndrum/src/org/fawndrum/transport/MemorySweep.java
+++ b/org.fawndrum/src/org/fawndrum/transport/MemorySweep.java
@@ -87,7 +87,7 @@
   private synchronized void sweepOrphans(
       Map<Endpoint, CompletableFuture<Holdings>> holdingsByEndpoint) {
     Map<Endpoint, Set<HostIdentity>> owners = new HashMap<>();
-    Set<HostIdentity> all = new HashSet<>();
+    Set<HostIdentity> allOwners = new HashSet<>();
     holdingsByEndpoint.forEach(
         (endpoint, answer) -> {
           if (answer.isCompletedExceptionally()) {
@@ -98,10 +98,10 @@
             endpointOwners.add(new HostIdentity(holding.ownerHost(), holding.ownerIncarnation()));
           }
           owners.put(endpoint, endpointOwners);
-          all.addAll(endpointOwners);
+          allOwners.addAll(endpointOwners);
         });
     Set<HostIdentity> sweepable =
-        new HashSet<>(rule.sweepable(all, new KnownHosts(), clock.nowMs()));
+        new HashSet<>(rule.sweepable(allOwners, new KnownHosts(), clock.nowMs()));
     owners.forEach(
         (endpoint, endpointOwners) ->
             endpointOwners.stream()
--- a/org.fawndrum/src/org/fawndrum/transport/OpenExchanges.java
+++ b/org.fawndrum/src/org/fawndrum/transport/OpenExchanges.java
@@ -41,34 +41,40 @@
   /**
    * Runs actions.
    *
-   * @param refused called for each refused request, before the refusal is sent to its caller
-   * @param exchangeKnows whether an exchange that sent nothing proves that the request did not run
+   * @param refusalListener called for each refused request, before the refusal is sent to its
+   *     caller
+   * @param unsentProvesNotRun whether an exchange that sent nothing proves that the request did not
+   *     run
    */
   public void carryOut(
-      List<Action> actions, BiConsumer<String, Refusal> refused, boolean exchangeKnows) {
+      List<Action> actions,
+      BiConsumer<String, Refusal> refusalListener,
+      boolean unsentProvesNotRun) {
     for (Action action : actions) {
-      if (action instanceof Action.RecordDecision explain) {
-        feed.accept(explain.decision());
+      if (action instanceof Action.RecordDecision recorded) {
+        feed.accept(recorded.decision());
       } else if (action instanceof Action.Send send) {
-        onExchange(send.attempt().requestId(), exchange -> exchange.send(send));
+        runOnExchange(send.attempt().requestId(), exchange -> exchange.send(send));
       } else if (action instanceof Action.Cancel cancel) {
-        onExchange(cancel.attempt().requestId(), exchange -> exchange.cancel(cancel));
+        runOnExchange(cancel.attempt().requestId(), exchange -> exchange.cancel(cancel));
       } else if (action instanceof Action.Refuse refuse) {
         Refusal refusal = refuse.refusal();
-        refused.accept(refuse.requestId(), refusal);
-        onExchange(refuse.requestId(), exchange -> refuse(exchange, refusal, exchangeKnows));
+        refusalListener.accept(refuse.requestId(), refusal);
+        runOnExchange(
+            refuse.requestId(), exchange -> refuse(exchange, refusal, unsentProvesNotRun));
         exchanges.remove(refuse.requestId());
       }
     }
   }
 
   /** Narrows an unknown outcome to "did not run" if the exchange never sent the request. */
-  private static void refuse(Exchange exchange, Refusal refusal, boolean exchangeKnows) {
-    boolean didNotRun = exchangeKnows && refusal.ran() == Ran.UNKNOWN && !exchange.anyRequestSent();
+  private static void refuse(Exchange exchange, Refusal refusal, boolean unsentProvesNotRun) {
+    boolean didNotRun =
+        unsentProvesNotRun && refusal.ran() == Ran.UNKNOWN && !exchange.anyRequestSent();
     exchange.refuse(didNotRun ? refusal.withRan(Ran.NO) : refusal);
   }
 
-  private void onExchange(String requestId, Consumer<Exchange> step) {
+  private void runOnExchange(String requestId, Consumer<Exchange> step) {
     Exchange exchange = exchanges.get(requestId);
     if (exchange != null) {
       exchange.runOnLoop(() -> step.accept(exchange));
--- a/org.fawndrum/src/org/fawndrum/transport/OperatorServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/OperatorServer.java
@@ -51,7 +51,7 @@
 
   private final HttpServer server;
   private final Keyring<OperatorKey> keys;
-  private final BodyReader bodies;
+  private final BodyReader bodyReader;
   private final PlatformLog platform;
   private final TableStore tables;
   private final DecisionFeed feed;
@@ -71,7 +71,7 @@
       Runnable drain,
       HostLog log) {
     this.keys = new Keyring<>(settings.operatorKeys(), OperatorKey::key);
-    this.bodies = new BodyReader(vertx, MAX_BODY_BYTES, BODY_SILENCE_MS);
+    this.bodyReader = new BodyReader(vertx, MAX_BODY_BYTES, BODY_SILENCE_MS);
     this.platform = platform;
     this.tables = tables;
     this.feed = feed;
@@ -161,7 +161,7 @@
                       response,
                       NOT_FOUND,
                       "unknown_request",
-                      "this host keeps no decisions of it"));
+                      "this host has no decisions about this request"));
     } else if (path.startsWith(publication)) {
       String id = path.substring(publication.length());
       Published published =
@@ -182,7 +182,7 @@
       drain.run();
       answer(response, ACCEPTED, status.get());
     } else if ("/table/publish".equals(path)) {
-      bodies
+      bodyReader
           .read(request, operator.operator())
           .thenAccept(body -> publish(response, body, operator))
           .exceptionally(
--- a/org.fawndrum/src/org/fawndrum/transport/PeerDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PeerDuty.java
@@ -45,7 +45,7 @@
   private final PeerNetwork network;
   private final HostClock clock;
   private final Supplier<PeerFacts> ownFacts;
-  private final SharedState holdings;
+  private final SharedState sharedState;
   private final Consumer<PeerFacts> heartbeatListener;
   private final HostLog log;
   private final Duty<PeerEvent> duty;
@@ -94,7 +94,7 @@
       PeerNetwork network,
       HostClock clock,
       Supplier<PeerFacts> ownFacts,
-      SharedState holdings,
+      SharedState sharedState,
       Consumer<PeerFacts> heartbeatListener,
       HostLog log) {
     this.self = self;
@@ -102,7 +102,7 @@
     this.network = network;
     this.clock = clock;
     this.ownFacts = ownFacts;
-    this.holdings = holdings;
+    this.sharedState = sharedState;
     this.heartbeatListener = heartbeatListener;
     this.log = log;
     this.duty =
@@ -160,7 +160,7 @@
 
   private CatchUpReply reply(CatchUpRequest request) {
     CatchUpReply.Builder reply = CatchUpReply.newBuilder();
-    SnapshotRecord snapshot = holdings.snapshot();
+    SnapshotRecord snapshot = sharedState.snapshot();
     if (snapshot.getPosition() > request.getTableAfterPosition()) {
       reply.setSnapshot(snapshot);
     }
@@ -174,11 +174,11 @@
   private void applyCatchUp(CatchUpReply reply) {
     try {
       if (reply.hasSnapshot()) {
-        holdings.accept(reply.getSnapshot());
+        sharedState.accept(reply.getSnapshot());
       }
       if (!reply.getListingJson().isEmpty()) {
         String json = reply.getListingJson().toString(StandardCharsets.UTF_8);
-        holdings.accept(HostListCodec.decode(Json.read(json, HostList.class)));
+        sharedState.accept(HostListCodec.decode(Json.read(json, HostList.class)));
       }
     } catch (BadSnapshotException | IOException e) {
       log.failure(LogEvent.PEER_MESSAGE_DROPPED, e, "catch-up");
@@ -201,13 +201,13 @@
 
   private void sendHeartbeats(Set<HostAddress> due) {
     Heartbeat.Builder heartbeat = PeerCodec.heartbeat(ownFacts.get());
-    heartbeat.setLoadDigest(ByteString.copyFrom(holdings.loadDigest()));
+    heartbeat.setLoadDigest(ByteString.copyFrom(sharedState.loadDigest()));
     PeerMessage message = PeerCodec.newMessage(self).setHeartbeat(heartbeat).build();
     due.forEach(to -> network.send(to, message));
   }
 
   private void catchUp(long nowMs) {
-    if (nowMs < nextCatchUpMs || holdings.platformSuffices()) {
+    if (nowMs < nextCatchUpMs || sharedState.platformSuffices()) {
       return;
     }
     PeerFacts own = ownFacts.get();
--- a/org.fawndrum/src/org/fawndrum/transport/PlainExchange.java
+++ b/org.fawndrum/src/org/fawndrum/transport/PlainExchange.java
@@ -42,7 +42,7 @@
   private final HttpServerResponse response;
   private final Context context;
   private final HttpClientAgent client;
-  private final AttemptListener attempts;
+  private final AttemptListener attemptListener;
   private Action.Send current;
   private HttpClientRequest request;
   private boolean requestSent;
@@ -57,13 +57,13 @@
       HttpServerResponse response,
       Context context,
       HttpClientAgent client,
-      AttemptListener attempts) {
+      AttemptListener attemptListener) {
     this.facts = facts;
     this.call = call;
     this.response = response;
     this.context = context;
     this.client = client;
-    this.attempts = attempts;
+    this.attemptListener = attemptListener;
   }
 
   @Override
@@ -74,7 +74,7 @@
   @Override
   public void send(Action.Send send) {
     if (completed) {
-      attempts.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
+      attemptListener.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
     current = send;
@@ -93,7 +93,7 @@
                       if (connected.succeeded()) {
                         sendRequest(send, connected.result());
                       } else {
-                        attempts.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
+                        attemptListener.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
                       }
                     }));
   }
@@ -101,7 +101,7 @@
   private void sendRequest(Action.Send send, HttpClientRequest connected) {
     if (completed || send != current) {
       connected.reset();
-      attempts.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
+      attemptListener.onEvent(send.attempt(), AttemptEvent.CONNECT_FAILED);
       return;
     }
     request = connected;
@@ -118,7 +118,7 @@
                       if (done.succeeded()) {
                         handleResponse(send, done.result());
                       } else {
-                        attempts.onEvent(send.attempt(), AttemptEvent.LOST);
+                        attemptListener.onEvent(send.attempt(), AttemptEvent.LOST);
                       }
                     }));
   }
@@ -131,11 +131,11 @@
       return;
     }
     if ("no".equals(answer.head().getHeader(RAN_HEADER))) {
-      attempts.onEvent(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT);
+      attemptListener.onEvent(send.attempt(), AttemptEvent.REFUSED_BY_ENDPOINT);
       return;
     }
     completed = true;
-    attempts.onEvent(send.attempt(), AttemptEvent.ANSWERED);
+    attemptListener.onEvent(send.attempt(), AttemptEvent.ANSWERED);
     if (response.closed()) {
       return;
     }
--- a/org.fawndrum/src/org/fawndrum/transport/RequestIntake.java
+++ b/org.fawndrum/src/org/fawndrum/transport/RequestIntake.java
@@ -27,7 +27,7 @@
 
   private static final long DEFAULT_ANSWER_TOKENS = 256;
   private static final long MAX_ANSWER_TOKENS = 65_536;
-  private static final long FULL_RING_RETRY_MS = 250;
+  private static final long RETRY_AFTER_MS = 250;
 
   private final Vertx vertx;
   private final LimitSettings limits;
@@ -113,14 +113,14 @@
             });
     if (!decisions.arrived(new HostEvent.RequestArrived(facts, claim), exchange)) {
       throw new RefusedException(
-          facts.requestId(), Refusal.of(RefusalKind.HOST_BUSY, Ran.NO, FULL_RING_RETRY_MS));
+          facts.requestId(), Refusal.of(RefusalKind.HOST_BUSY, Ran.NO, RETRY_AFTER_MS));
     }
   }
 
   private RefusedException missingRow(CallerServer.Call call) {
     return tables.table().revision() < 0
         ? new RefusedException(
-            call.requestId(), Refusal.of(RefusalKind.NO_TABLE, Ran.NO, FULL_RING_RETRY_MS))
+            call.requestId(), Refusal.of(RefusalKind.NO_TABLE, Ran.NO, RETRY_AFTER_MS))
         : refused(call, RefusalKind.UNKNOWN_WORKSPACE);
   }
 
--- a/org.fawndrum/src/org/fawndrum/transport/RequestMetrics.java
+++ b/org.fawndrum/src/org/fawndrum/transport/RequestMetrics.java
@@ -99,7 +99,7 @@
       }
       case FIRST_TOKEN -> {
         histogram("firstTokenMs", workspace, tokens).update(sinceMs);
-        decision.prefill().ifPresent(reading -> recordForecastError(reading, tokens));
+        decision.prefill().ifPresent(prefill -> recordForecastError(prefill, tokens));
       }
       case FINISHED, REFUSED -> countOutcome(decision, workspace, tokens);
       default -> {}
@@ -107,16 +107,16 @@
   }
 
   /** Records the difference between the expected and the actual time of the first token. */
-  private void recordForecastError(Prefill reading, long promptTokens) {
-    long laterMs = reading.delayMs();
-    String what = laterMs >= 0 ? "laterThanExpectedMs" : "soonerThanExpectedMs";
-    String name = MetricRegistry.name(what, lengthClass(promptTokens), enginesClass(reading));
-    histogram(name).update(Math.max(1, Math.abs(laterMs)));
+  private void recordForecastError(Prefill prefill, long promptTokens) {
+    long delayMs = prefill.delayMs();
+    String what = delayMs >= 0 ? "laterThanExpectedMs" : "soonerThanExpectedMs";
+    String name = MetricRegistry.name(what, lengthClass(promptTokens), enginesClass(prefill));
+    histogram(name).update(Math.max(1, Math.abs(delayMs)));
   }
 
   /** Returns the class of a prefill by its number of engines: one, few or many. */
-  private static String enginesClass(Prefill reading) {
-    int engines = reading.engines().size();
+  private static String enginesClass(Prefill prefill) {
+    int engines = prefill.engines().size();
     if (engines == 1) {
       return "one";
     }
--- a/org.fawndrum/src/org/fawndrum/transport/RetireHost.java
+++ b/org.fawndrum/src/org/fawndrum/transport/RetireHost.java
@@ -17,7 +17,7 @@
 import org.fawndrum.transport.peer.PeerNetwork;
 
 /**
- * The last step of a planned shutdown: hands the keys of calls that must not be repeated over to
+ * The last step of a planned shutdown: hands the keys of requests that must not be repeated over to
  * the living daemons of the zone, then appends to the log that this incarnation is retired. If no
  * daemon accepted the keys nothing is appended, so that the others still assume that this
  * incarnation may hold keys they do not know.
@@ -61,7 +61,7 @@
     }
     return CompletableFuture.allOf(replies.toArray(CompletableFuture[]::new))
         .thenCompose(
-            all ->
+            done ->
                 appendRetirement(
                     keys.size(), replies.stream().filter(CompletableFuture::join).count()));
   }
--- a/org.fawndrum/src/org/fawndrum/transport/SuspendAwareClock.java
+++ b/org.fawndrum/src/org/fawndrum/transport/SuspendAwareClock.java
@@ -7,8 +7,9 @@
 
 /**
  * A clock that includes the time for which the machine was suspended, during which the monotonic
- * clock stops. To all other code a suspension then looks like a pause of the process of the same
- * length, so that leases, reports and deadlines have their real age.
+ * clock stops. Suspensions are detected only here. To all other code a suspension looks like a
+ * pause of the process of the same length, so that leases, reports and deadlines have their real
+ * age.
  *
  * <p>The wall clock also jumps for other reasons, and the time since boot may come from an
  * enclosing machine and run at another rate. A suspension is therefore detected only when both jump
--- a/org.fawndrum/src/org/fawndrum/transport/TrustedConnections.java
+++ b/org.fawndrum/src/org/fawndrum/transport/TrustedConnections.java
@@ -17,7 +17,7 @@
   private static final int MIN_ROUNDS = 10;
 
   private final Vertx vertx;
-  private final Map<HttpConnection, Boolean> open = new ConcurrentHashMap<>();
+  private final Map<HttpConnection, Boolean> trustedByConnection = new ConcurrentHashMap<>();
   private volatile boolean trusting;
 
   TrustedConnections(Vertx vertx) {
@@ -42,14 +42,14 @@
   }
 
   void opened(HttpConnection connection) {
-    open.put(connection, trusting);
+    trustedByConnection.put(connection, trusting);
   }
 
   void closed(HttpConnection connection) {
-    open.remove(connection);
+    trustedByConnection.remove(connection);
   }
 
   boolean trusted(HttpConnection connection) {
-    return open.getOrDefault(connection, false);
+    return trustedByConnection.getOrDefault(connection, false);
   }
 }
--- a/org.fawndrum/tst/org/fawndrum/protocol/FleetCodecTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/FleetCodecTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aWholeReportDescribesItsDaemon() {
+  void completeReportDescribesItsDaemon() {
     FleetReport report =
         new FleetReport(
             SELF,
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aReportAboutOneZoneConcernsThatZone() {
+  void reportAboutOneZoneConcernsOnlyThatZone() {
     FleetReport report =
         new FleetReport(
             SELF,
--- a/org.fawndrum/tst/org/fawndrum/protocol/LoadDigestTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/LoadDigestTest.java
@@ -27,8 +27,9 @@
     assertEquals(LoadDigest.nameHash("engine-7"), read.nameHash());
     assertTrue(
         read.load().backlogFrom(5) >= high && read.load().backlogFrom(5) <= 2 * high + 1_024);
-    long all = high + low;
-    assertTrue(read.load().backlogFrom(0) >= all && read.load().backlogFrom(0) <= 2 * all + 1_024);
+    long total = high + low;
+    assertTrue(
+        read.load().backlogFrom(0) >= total && read.load().backlogFrom(0) <= 2 * total + 1_024);
     assertTrue(Math.abs(read.freeFraction() * 400_000 - free) <= 400_000 / 255.0 + 1);
     assertEquals(40_960, read.load().tokensPerSecond());
   }
--- a/org.fawndrum/tst/org/fawndrum/protocol/TableCsvTest.java
+++ b/org.fawndrum/tst/org/fawndrum/protocol/TableCsvTest.java
@@ -23,7 +23,7 @@
 class TableCsvTest {
   private static TableRevision randomTable(long seed) {
     Random random = new Random(seed);
-    TableRevisionBuilder parts = new TableRevisionBuilder(5, 9);
+    TableRevisionBuilder builder = new TableRevisionBuilder(5, 9);
     for (int i = 0; i < random.nextInt(12); i++) {
       CallerGroup group = new CallerGroup("w" + random.nextInt(4), "c" + random.nextInt(3));
       Column column = Column.values()[random.nextInt(Column.values().length)];
@@ -34,9 +34,9 @@
             case REPEATABLE -> "yes";
             default -> Integer.toString(1 + random.nextInt(9));
           };
-      parts.cell(new CellKey(group, column), new Cell(value, 5, "ana"));
+      builder.cell(new CellKey(group, column), new Cell(value, 5, "ana"));
     }
-    return parts.build();
+    return builder.build();
   }
 
   @Property(tries = 500, seed = "61")
--- a/org.fawndrum/tst/org/fawndrum/state/TableReplayTest.java
+++ b/org.fawndrum/tst/org/fawndrum/state/TableReplayTest.java
@@ -46,8 +46,8 @@
                 offset, publication(id, baseRevision, change(column, value)));
       } else if (chance < 9) {
         TableRevision old = tables.get(random.nextInt(tables.size()));
-        TableRevision read = SnapshotCodec.decode(SnapshotCodec.encode(old));
-        entry = new LogReplay.Entry.Snapshot(offset, read);
+        TableRevision decoded = SnapshotCodec.decode(SnapshotCodec.encode(old));
+        entry = new LogReplay.Entry.Snapshot(offset, decoded);
       } else {
         entry = new LogReplay.Entry.Other(offset);
       }
@@ -68,10 +68,10 @@
     Random random = new Random(seed);
     List<LogReplay.Entry> log = log(random);
     List<TableRevision> tablesByPosition = new ArrayList<>();
-    LogReplay whole = new LogReplay();
+    LogReplay fullReplay = new LogReplay();
     for (LogReplay.Entry entry : log) {
-      whole.record(entry);
-      tablesByPosition.add(whole.table());
+      fullReplay.record(entry);
+      tablesByPosition.add(fullReplay.table());
     }
     LogReplay lateReplay = new LogReplay();
     long revision = -1;
@@ -127,9 +127,9 @@
 
   @Test
   void duplicatePublicationHasNoEffect() {
-    Publication once = publication("a", -1, change(Column.SHARE, "2"));
-    TableRevision first = new PublicationReplay(TableRevision.EMPTY, 0, once).apply();
-    TableRevision second = new PublicationReplay(first, 1, once).apply();
+    Publication published = publication("a", -1, change(Column.SHARE, "2"));
+    TableRevision first = new PublicationReplay(TableRevision.EMPTY, 0, published).apply();
+    TableRevision second = new PublicationReplay(first, 1, published).apply();
     assertEquals(0, second.revision());
     assertInstanceOf(PublicationOutcome.Accepted.class, second.outcome("a").orElseThrow());
   }
@@ -142,9 +142,9 @@
             .apply();
     TableRevision cleared =
         new PublicationReplay(set, 1, publication("b", 0, change(Column.SHARE, null))).apply();
-    TableRevision lateReplay =
+    TableRevision afterConflict =
         new PublicationReplay(cleared, 2, publication("c", 0, change(Column.SHARE, "9"))).apply();
-    assertInstanceOf(PublicationOutcome.Lost.class, lateReplay.outcome("c").orElseThrow());
+    assertInstanceOf(PublicationOutcome.Lost.class, afterConflict.outcome("c").orElseThrow());
   }
 
   @Test
--- a/org.fawndrum/tst/org/fawndrum/transport/SuspendAwareClockTest.java
+++ b/org.fawndrum/tst/org/fawndrum/transport/SuspendAwareClockTest.java
@@ -9,7 +9,7 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
-/** Which changes of the clocks of the machine a host's clock counts as a suspension. */
+/** Which changes of the machine's clocks are counted as a suspension. */
 class SuspendAwareClockTest {
   private static final long MIDNIGHT_MS = 1_764_720_000_000L;
   private static final long NANOS = 1_000_000;
