--- a/org.fawndrum/src/org/fawndrum/coordination/SuspectedRequests.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/SuspectedRequests.java
@@ -263,7 +263,7 @@
   }
 
   /** Returns a digest of the evidence, equal on hosts that have the same evidence. */
-  public long summary() {
+  public long digest() {
     return crashRegistry.digest();
   }
 
--- a/org.fawndrum/src/org/fawndrum/internal/log/LogEvent.java
+++ b/org.fawndrum/src/org/fawndrum/internal/log/LogEvent.java
@@ -45,7 +45,7 @@
   ATTEMPT_FAILED(52, Level.WARN, "attempt {0} on endpoint {1} failed"),
   MEMORY_REQUEST_FAILED(54, Level.WARN, "memory request for ticket {0} failed: {1}"),
   DECISION(55, Level.INFO, "{0}"),
-  REJECTED_BEFORE_DECISION(56, Level.INFO, "{0}"),
+  REFUSED_BEFORE_DECISION(56, Level.INFO, "{0}"),
   LINES_SUPPRESSED(57, Level.WARN, "log lines suppressed: {0} about failures, {1} about successes"),
   STREAM_COMPLETED(58, Level.INFO, "{0}"),
   ENGINE_SILENT(59, Level.WARN, "{0}"),
--- a/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
@@ -123,7 +123,7 @@
   void requestRejected(String requestId, Refusal refusal) {
     if (failureLimiter.tryAcquire(clock.nowMs())) {
       log.details(
-          LogEvent.REJECTED_BEFORE_DECISION,
+          LogEvent.REFUSED_BEFORE_DECISION,
           new RejectedDetails(
               requestId, refusal.kind().code(), refusal.retryAfterMs(), basis.get()));
     }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
@@ -173,7 +173,7 @@
   /** Publishes the state of the coordinator to other threads. */
   private void publishState() {
     openRequests = coordinator.openCount();
-    crashSummary = coordinator.suspectedRequests().summary();
+    crashSummary = coordinator.suspectedRequests().digest();
     crashingRequests = coordinator.suspectedRequests().rejected();
   }
 
@@ -217,7 +217,7 @@
     carryOut(
         coordinator.suspectedRequests(
             suspects -> suspects.applyUpdate(reported.crashes(), nowMs), nowMs));
-    if (reported.complete() && reported.summary() != coordinator.suspectedRequests().summary()) {
+    if (reported.complete() && reported.summary() != coordinator.suspectedRequests().digest()) {
       publisher.publishCrashes(coordinator.suspectedRequests().allUpdates());
     }
   }
