--- a/org.fawndrum/src/org/fawndrum/coordination/RefusalKind.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RefusalKind.java
@@ -51,7 +51,7 @@
   HOST_BUSY(503, "overloaded_error", "this host has no room for more events"),
   /** The host has not received a table yet. */
   NO_TABLE(503, "overloaded_error", "this host has no table yet"),
-  /** The host is not yet registered to run calls that must not be repeated. */
+  /** The host is not yet registered to run requests that must not be repeated. */
   NOT_REGISTERED(503, "overloaded_error", "this host may not run such calls yet"),
   /** The endpoint failed, and a retry is not allowed or did not help. */
   ENDPOINT_FAILED(502, "api_error", "the endpoint failed"),
--- a/org.fawndrum/src/org/fawndrum/coordination/RefusalRules.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/RefusalRules.java
@@ -74,7 +74,7 @@
     if (event == AttemptEvent.ENDPOINT_BACKOFF) {
       return;
     }
-    // A refusal with a requested backoff does not count as a failure: the endpoint named its end.
+    // A refusal with a requested backoff names the time itself and is not counted as a failure.
     boolean onlyBackoff =
         event == AttemptEvent.REFUSED_BY_ENDPOINT && attempt.endpoint.inRequestedBackoff(nowMs);
     boolean mayBeSlow = event == AttemptEvent.FAILED_BY_ENDPOINT || event == AttemptEvent.STALLED;
--- a/org.fawndrum/src/org/fawndrum/coordination/once/CallRegistry.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/CallRegistry.java
@@ -9,10 +9,10 @@
 import org.fawndrum.coordination.Ran;
 
 /**
- * The calls that may not be repeated, as far as one host incarnation knows: those that it ran,
+ * The requests that must not be repeated, as far as one host incarnation knows: those that it ran,
  * those that it claims, and those that it promised not to run. Entries are kept for {@link
- * #RETENTION_MS} after their last change; callers must not repeat a call later than that. Confined
- * to one thread.
+ * #RETENTION_MS} after their last change; callers must not repeat a request later than that.
+ * Confined to one thread.
  */
 public final class CallRegistry {
   /** How long a key is kept, in milliseconds: a quarter of an hour. */
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimCoordinator.java
@@ -14,7 +14,7 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * Decides for one host whether a call that may not be repeated may run here. Takes timestamped
+ * Decides for one host whether a request that must not be repeated may run here. Takes timestamped
  * events and returns actions. Confined to one thread; reads no clock.
  */
 public final class ClaimCoordinator {
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimKey.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimKey.java
@@ -4,7 +4,7 @@
 import org.fawndrum.state.CallerGroup;
 
 /**
- * Identifies a call that may not be repeated.
+ * Identifies a request that must not be repeated.
  *
  * @param group the caller group that chose the key
  * @param key the caller's Idempotency-Key
--- a/org.fawndrum/src/org/fawndrum/coordination/once/ClaimMembers.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/ClaimMembers.java
@@ -11,9 +11,9 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * The host incarnations that may run calls which may not be repeated, as registered in the log. All
- * hosts replay the same registrations, so a host that has replayed the log to its end knows every
- * host that may have run a call before. Confined to one thread.
+ * The host incarnations that may run requests that must not be repeated, as registered in the log.
+ * All hosts replay the same registrations, so a host that has replayed the log to its end knows
+ * every host that may have run a request before. Confined to one thread.
  */
 public final class ClaimMembers {
   private static final int MAX_RETIRED = 4_096;
--- a/org.fawndrum/src/org/fawndrum/coordination/once/Registration.java
+++ b/org.fawndrum/src/org/fawndrum/coordination/once/Registration.java
@@ -5,7 +5,7 @@
 import org.fawndrum.state.HostIdentity;
 
 /**
- * A record in the log: a daemon incarnation that may run calls which may not be repeated.
+ * A record in the log: a daemon incarnation that may run requests that must not be repeated.
  *
  * @param identity the incarnation
  * @param zone its availability zone
--- a/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/DecisionLog.java
@@ -60,8 +60,8 @@
     }
   }
 
-  /** Log details of a request that was rejected before it reached the decision duty. */
-  record RejectedDetails(String requestId, String refusal, long retryAfterMs, Basis basis)
+  /** Log details of a request that was refused before it reached the decision duty. */
+  record RefusedDetails(String requestId, String refusal, long retryAfterMs, Basis basis)
       implements LogDetails {}
 
   /**
@@ -119,12 +119,12 @@
     logSuppressed();
   }
 
-  /** Logs a request that was rejected before it reached the decision duty. */
-  void requestRejected(String requestId, Refusal refusal) {
+  /** Logs a request that was refused before it reached the decision duty. */
+  void requestRefused(String requestId, Refusal refusal) {
     if (failureLimiter.tryAcquire(clock.nowMs())) {
       log.details(
           LogEvent.REFUSED_BEFORE_DECISION,
-          new RejectedDetails(
+          new RefusedDetails(
               requestId, refusal.kind().code(), refusal.retryAfterMs(), basis.get()));
     }
   }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDrain.java
@@ -184,8 +184,8 @@
 
   private String summary() {
     String decisionSummary =
-        decisions.rejectedRequests()
-            + " requests rejected, "
+        decisions.refusedRequests()
+            + " requests refused, "
             + decisions.abortedRequests()
             + " aborted, maximum delay "
             + maxDelayMs
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayDuty.java
@@ -59,7 +59,7 @@
   private volatile long crashSummary;
   private volatile List<RejectedRequest> crashingRequests = List.of();
   private volatile int drainingEndpoints;
-  private volatile int rejectedRequests;
+  private volatile int refusedRequests;
   private volatile int abortedRequests;
 
   /**
@@ -98,9 +98,9 @@
     return openRequests + duty.ring().size();
   }
 
-  /** Returns the number of new requests that were rejected because the host is draining. */
-  int rejectedRequests() {
-    return rejectedRequests;
+  /** Returns the number of new requests that were refused because the host is draining. */
+  int refusedRequests() {
+    return refusedRequests;
   }
 
   /**
@@ -349,7 +349,7 @@
 
   private void countRefusal(String requestId, Refusal refusal) {
     if (refusal.kind() == RefusalKind.DRAINING && !aborting) {
-      rejectedRequests = rejectedRequests + 1;
+      refusedRequests = refusedRequests + 1;
     }
   }
 }
--- a/org.fawndrum/src/org/fawndrum/transport/relay/RelayServer.java
+++ b/org.fawndrum/src/org/fawndrum/transport/relay/RelayServer.java
@@ -306,7 +306,7 @@
   }
 
   private void refuseAndClose(HttpServerRequest http, String requestId, Refusal refusal) {
-    decisions.requestRejected(requestId, refusal);
+    decisions.requestRefused(requestId, refusal);
     RelayRefusals.answerAndClose(http, codec, requestId, refusal);
   }
 
@@ -317,7 +317,7 @@
     if (incompletelyRead) {
       refuseAndClose(http, requestId, refusal);
     } else {
-      decisions.requestRejected(requestId, refusal);
+      decisions.requestRefused(requestId, refusal);
       RelayRefusals.answer(http.response(), codec, requestId, refusal);
     }
   }
--- a/org.fawndrum/tst/org/fawndrum/coordination/once/OnceTest.java
+++ b/org.fawndrum/tst/org/fawndrum/coordination/once/OnceTest.java
@@ -15,7 +15,7 @@
 import org.fawndrum.state.HostIdentity;
 import org.junit.jupiter.api.Test;
 
-/** Calls that may not be repeated run at most once, and the outcome "not run" is true. */
+/** Requests that must not be repeated run at most once, and the outcome "not run" is true. */
 class OnceTest {
   private static final ClaimKey KEY = new ClaimKey(new CallerGroup("w", "c"), "k");
   private static final HostIdentity SELF = new HostIdentity("a", 1);
