--- a/org.fawndrum/src/org/fawndrum/protocol/wire/Acknowledgement.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/Acknowledgement.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * Confirms a message that has no other reply.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.Acknowledgement}
  */
 @com.google.protobuf.Generated
@@ -190,6 +194,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Confirms a message that has no other reply.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.Acknowledgement}
    */
   public static final class Builder extends
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/BadCellRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/BadCellRecord.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * A value that is not valid for its column.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.BadCellRecord}
  */
 @com.google.protobuf.Generated
@@ -208,6 +212,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object allowed_ = "";
   /**
+   * <pre>
+   * A description of the valid values.
+   * </pre>
+   *
    * <code>string allowed = 5;</code>
    * @return The allowed.
    */
@@ -225,6 +233,10 @@
     }
   }
   /**
+   * <pre>
+   * A description of the valid values.
+   * </pre>
+   *
    * <code>string allowed = 5;</code>
    * @return The bytes for allowed.
    */
@@ -440,6 +452,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * A value that is not valid for its column.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.BadCellRecord}
    */
   public static final class Builder extends
@@ -923,6 +939,10 @@
 
     private java.lang.Object allowed_ = "";
     /**
+     * <pre>
+     * A description of the valid values.
+     * </pre>
+     *
      * <code>string allowed = 5;</code>
      * @return The allowed.
      */
@@ -939,6 +959,10 @@
       }
     }
     /**
+     * <pre>
+     * A description of the valid values.
+     * </pre>
+     *
      * <code>string allowed = 5;</code>
      * @return The bytes for allowed.
      */
@@ -956,6 +980,10 @@
       }
     }
     /**
+     * <pre>
+     * A description of the valid values.
+     * </pre>
+     *
      * <code>string allowed = 5;</code>
      * @param value The allowed to set.
      * @return This builder for chaining.
@@ -969,6 +997,10 @@
       return this;
     }
     /**
+     * <pre>
+     * A description of the valid values.
+     * </pre>
+     *
      * <code>string allowed = 5;</code>
      * @return This builder for chaining.
      */
@@ -979,6 +1011,10 @@
       return this;
     }
     /**
+     * <pre>
+     * A description of the valid values.
+     * </pre>
+     *
      * <code>string allowed = 5;</code>
      * @param value The bytes for allowed to set.
      * @return This builder for chaining.
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/BadCellRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/BadCellRecordOrBuilder.java
@@ -59,11 +59,19 @@
       getValueBytes();
 
   /**
+   * <pre>
+   * A description of the valid values.
+   * </pre>
+   *
    * <code>string allowed = 5;</code>
    * @return The allowed.
    */
   java.lang.String getAllowed();
   /**
+   * <pre>
+   * A description of the valid values.
+   * </pre>
+   *
    * <code>string allowed = 5;</code>
    * @return The bytes for allowed.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CatchUpReply.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CatchUpReply.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * The state that is newer than the requester's.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.CatchUpReply}
  */
 @com.google.protobuf.Generated
@@ -48,6 +52,10 @@
   public static final int SNAPSHOT_FIELD_NUMBER = 1;
   private org.fawndrum.protocol.wire.SnapshotRecord snapshot_;
   /**
+   * <pre>
+   * Absent if it is not newer.
+   * </pre>
+   *
    * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
    * @return Whether the snapshot field is set.
    */
@@ -56,6 +64,10 @@
     return ((bitField0_ & 0x00000001) != 0);
   }
   /**
+   * <pre>
+   * Absent if it is not newer.
+   * </pre>
+   *
    * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
    * @return The snapshot.
    */
@@ -64,6 +76,10 @@
     return snapshot_ == null ? org.fawndrum.protocol.wire.SnapshotRecord.getDefaultInstance() : snapshot_;
   }
   /**
+   * <pre>
+   * Absent if it is not newer.
+   * </pre>
+   *
    * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
    */
   @java.lang.Override
@@ -75,7 +91,7 @@
   private com.google.protobuf.ByteString listingJson_ = com.google.protobuf.ByteString.EMPTY;
   /**
    * <pre>
-   * The platform's list of hosts in the platform's own JSON form; empty when it is not newer.
+   * The platform's list of hosts, in the platform's own JSON format. Empty if it is not newer.
    * </pre>
    *
    * <code>bytes listing_json = 2;</code>
@@ -260,6 +276,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * The state that is newer than the requester's.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.CatchUpReply}
    */
   public static final class Builder extends
@@ -428,6 +448,10 @@
     private com.google.protobuf.SingleFieldBuilder<
         org.fawndrum.protocol.wire.SnapshotRecord, org.fawndrum.protocol.wire.SnapshotRecord.Builder, org.fawndrum.protocol.wire.SnapshotRecordOrBuilder> snapshotBuilder_;
     /**
+     * <pre>
+     * Absent if it is not newer.
+     * </pre>
+     *
      * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
      * @return Whether the snapshot field is set.
      */
@@ -435,6 +459,10 @@
       return ((bitField0_ & 0x00000001) != 0);
     }
     /**
+     * <pre>
+     * Absent if it is not newer.
+     * </pre>
+     *
      * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
      * @return The snapshot.
      */
@@ -446,6 +474,10 @@
       }
     }
     /**
+     * <pre>
+     * Absent if it is not newer.
+     * </pre>
+     *
      * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
      */
     public Builder setSnapshot(org.fawndrum.protocol.wire.SnapshotRecord value) {
@@ -462,6 +494,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Absent if it is not newer.
+     * </pre>
+     *
      * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
      */
     public Builder setSnapshot(
@@ -476,6 +512,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Absent if it is not newer.
+     * </pre>
+     *
      * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
      */
     public Builder mergeSnapshot(org.fawndrum.protocol.wire.SnapshotRecord value) {
@@ -497,6 +537,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Absent if it is not newer.
+     * </pre>
+     *
      * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
      */
     public Builder clearSnapshot() {
@@ -510,6 +554,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Absent if it is not newer.
+     * </pre>
+     *
      * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
      */
     public org.fawndrum.protocol.wire.SnapshotRecord.Builder getSnapshotBuilder() {
@@ -518,6 +566,10 @@
       return internalGetSnapshotFieldBuilder().getBuilder();
     }
     /**
+     * <pre>
+     * Absent if it is not newer.
+     * </pre>
+     *
      * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
      */
     public org.fawndrum.protocol.wire.SnapshotRecordOrBuilder getSnapshotOrBuilder() {
@@ -529,6 +581,10 @@
       }
     }
     /**
+     * <pre>
+     * Absent if it is not newer.
+     * </pre>
+     *
      * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
      */
     private com.google.protobuf.SingleFieldBuilder<
@@ -548,7 +604,7 @@
     private com.google.protobuf.ByteString listingJson_ = com.google.protobuf.ByteString.EMPTY;
     /**
      * <pre>
-     * The platform's list of hosts in the platform's own JSON form; empty when it is not newer.
+     * The platform's list of hosts, in the platform's own JSON format. Empty if it is not newer.
      * </pre>
      *
      * <code>bytes listing_json = 2;</code>
@@ -560,7 +616,7 @@
     }
     /**
      * <pre>
-     * The platform's list of hosts in the platform's own JSON form; empty when it is not newer.
+     * The platform's list of hosts, in the platform's own JSON format. Empty if it is not newer.
      * </pre>
      *
      * <code>bytes listing_json = 2;</code>
@@ -576,7 +632,7 @@
     }
     /**
      * <pre>
-     * The platform's list of hosts in the platform's own JSON form; empty when it is not newer.
+     * The platform's list of hosts, in the platform's own JSON format. Empty if it is not newer.
      * </pre>
      *
      * <code>bytes listing_json = 2;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CatchUpReplyOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CatchUpReplyOrBuilder.java
@@ -11,23 +11,35 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Absent if it is not newer.
+   * </pre>
+   *
    * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
    * @return Whether the snapshot field is set.
    */
   boolean hasSnapshot();
   /**
+   * <pre>
+   * Absent if it is not newer.
+   * </pre>
+   *
    * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
    * @return The snapshot.
    */
   org.fawndrum.protocol.wire.SnapshotRecord getSnapshot();
   /**
+   * <pre>
+   * Absent if it is not newer.
+   * </pre>
+   *
    * <code>.fawndrum.SnapshotRecord snapshot = 1;</code>
    */
   org.fawndrum.protocol.wire.SnapshotRecordOrBuilder getSnapshotOrBuilder();
 
   /**
    * <pre>
-   * The platform's list of hosts in the platform's own JSON form; empty when it is not newer.
+   * The platform's list of hosts, in the platform's own JSON format. Empty if it is not newer.
    * </pre>
    *
    * <code>bytes listing_json = 2;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CatchUpRequest.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CatchUpRequest.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks for what the sender lacks; -1 asks for nothing.
+ * Requests the state that is newer than the sender's.
  * </pre>
  *
  * Protobuf type {@code fawndrum.CatchUpRequest}
@@ -50,6 +50,10 @@
   public static final int TABLE_AFTER_POSITION_FIELD_NUMBER = 1;
   private long tableAfterPosition_ = 0L;
   /**
+   * <pre>
+   * The log position of the sender's table. -1 if the sender has none.
+   * </pre>
+   *
    * <code>int64 table_after_position = 1;</code>
    * @return The tableAfterPosition.
    */
@@ -61,6 +65,10 @@
   public static final int LISTING_AFTER_VERSION_FIELD_NUMBER = 2;
   private long listingAfterVersion_ = 0L;
   /**
+   * <pre>
+   * The version of the sender's host list. -1 if the sender has none.
+   * </pre>
+   *
    * <code>int64 listing_after_version = 2;</code>
    * @return The listingAfterVersion.
    */
@@ -241,7 +249,7 @@
   }
   /**
    * <pre>
-   * Asks for what the sender lacks; -1 asks for nothing.
+   * Requests the state that is newer than the sender's.
    * </pre>
    *
    * Protobuf type {@code fawndrum.CatchUpRequest}
@@ -393,6 +401,10 @@
 
     private long tableAfterPosition_ ;
     /**
+     * <pre>
+     * The log position of the sender's table. -1 if the sender has none.
+     * </pre>
+     *
      * <code>int64 table_after_position = 1;</code>
      * @return The tableAfterPosition.
      */
@@ -401,6 +413,10 @@
       return tableAfterPosition_;
     }
     /**
+     * <pre>
+     * The log position of the sender's table. -1 if the sender has none.
+     * </pre>
+     *
      * <code>int64 table_after_position = 1;</code>
      * @param value The tableAfterPosition to set.
      * @return This builder for chaining.
@@ -413,6 +429,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The log position of the sender's table. -1 if the sender has none.
+     * </pre>
+     *
      * <code>int64 table_after_position = 1;</code>
      * @return This builder for chaining.
      */
@@ -425,6 +445,10 @@
 
     private long listingAfterVersion_ ;
     /**
+     * <pre>
+     * The version of the sender's host list. -1 if the sender has none.
+     * </pre>
+     *
      * <code>int64 listing_after_version = 2;</code>
      * @return The listingAfterVersion.
      */
@@ -433,6 +457,10 @@
       return listingAfterVersion_;
     }
     /**
+     * <pre>
+     * The version of the sender's host list. -1 if the sender has none.
+     * </pre>
+     *
      * <code>int64 listing_after_version = 2;</code>
      * @param value The listingAfterVersion to set.
      * @return This builder for chaining.
@@ -445,6 +473,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The version of the sender's host list. -1 if the sender has none.
+     * </pre>
+     *
      * <code>int64 listing_after_version = 2;</code>
      * @return This builder for chaining.
      */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CatchUpRequestOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CatchUpRequestOrBuilder.java
@@ -11,12 +11,20 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * The log position of the sender's table. -1 if the sender has none.
+   * </pre>
+   *
    * <code>int64 table_after_position = 1;</code>
    * @return The tableAfterPosition.
    */
   long getTableAfterPosition();
 
   /**
+   * <pre>
+   * The version of the sender's host list. -1 if the sender has none.
+   * </pre>
+   *
    * <code>int64 listing_after_version = 2;</code>
    * @return The listingAfterVersion.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CellChangeRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CellChangeRecord.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * A change of one cell of the configuration table.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.CellChangeRecord}
  */
 @com.google.protobuf.Generated
@@ -169,6 +173,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object value_ = "";
   /**
+   * <pre>
+   * The new value. Absent if the cell is cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return Whether the value field is set.
    */
@@ -177,6 +185,10 @@
     return ((bitField0_ & 0x00000001) != 0);
   }
   /**
+   * <pre>
+   * The new value. Absent if the cell is cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return The value.
    */
@@ -194,6 +206,10 @@
     }
   }
   /**
+   * <pre>
+   * The new value. Absent if the cell is cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return The bytes for value.
    */
@@ -404,6 +420,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * A change of one cell of the configuration table.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.CellChangeRecord}
    */
   public static final class Builder extends
@@ -804,6 +824,10 @@
 
     private java.lang.Object value_ = "";
     /**
+     * <pre>
+     * The new value. Absent if the cell is cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @return Whether the value field is set.
      */
@@ -811,6 +835,10 @@
       return ((bitField0_ & 0x00000008) != 0);
     }
     /**
+     * <pre>
+     * The new value. Absent if the cell is cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @return The value.
      */
@@ -827,6 +855,10 @@
       }
     }
     /**
+     * <pre>
+     * The new value. Absent if the cell is cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @return The bytes for value.
      */
@@ -844,6 +876,10 @@
       }
     }
     /**
+     * <pre>
+     * The new value. Absent if the cell is cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @param value The value to set.
      * @return This builder for chaining.
@@ -857,6 +893,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The new value. Absent if the cell is cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @return This builder for chaining.
      */
@@ -867,6 +907,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The new value. Absent if the cell is cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @param value The bytes for value to set.
      * @return This builder for chaining.
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CellChangeRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CellChangeRecordOrBuilder.java
@@ -47,16 +47,28 @@
       getColumnBytes();
 
   /**
+   * <pre>
+   * The new value. Absent if the cell is cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return Whether the value field is set.
    */
   boolean hasValue();
   /**
+   * <pre>
+   * The new value. Absent if the cell is cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return The value.
    */
   java.lang.String getValue();
   /**
+   * <pre>
+   * The new value. Absent if the cell is cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return The bytes for value.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CellRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CellRecord.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * A published cell.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.CellRecord}
  */
 @com.google.protobuf.Generated
@@ -170,6 +174,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object value_ = "";
   /**
+   * <pre>
+   * Absent if the cell was cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return Whether the value field is set.
    */
@@ -178,6 +186,10 @@
     return ((bitField0_ & 0x00000001) != 0);
   }
   /**
+   * <pre>
+   * Absent if the cell was cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return The value.
    */
@@ -195,6 +207,10 @@
     }
   }
   /**
+   * <pre>
+   * Absent if the cell was cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return The bytes for value.
    */
@@ -216,6 +232,10 @@
   public static final int OFFSET_FIELD_NUMBER = 5;
   private long offset_ = 0L;
   /**
+   * <pre>
+   * The log offset of the publication that set or cleared the cell.
+   * </pre>
+   *
    * <code>int64 offset = 5;</code>
    * @return The offset.
    */
@@ -477,6 +497,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * A published cell.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.CellRecord}
    */
   public static final class Builder extends
@@ -903,6 +927,10 @@
 
     private java.lang.Object value_ = "";
     /**
+     * <pre>
+     * Absent if the cell was cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @return Whether the value field is set.
      */
@@ -910,6 +938,10 @@
       return ((bitField0_ & 0x00000008) != 0);
     }
     /**
+     * <pre>
+     * Absent if the cell was cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @return The value.
      */
@@ -926,6 +958,10 @@
       }
     }
     /**
+     * <pre>
+     * Absent if the cell was cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @return The bytes for value.
      */
@@ -943,6 +979,10 @@
       }
     }
     /**
+     * <pre>
+     * Absent if the cell was cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @param value The value to set.
      * @return This builder for chaining.
@@ -956,6 +996,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Absent if the cell was cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @return This builder for chaining.
      */
@@ -966,6 +1010,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Absent if the cell was cleared.
+     * </pre>
+     *
      * <code>optional string value = 4;</code>
      * @param value The bytes for value to set.
      * @return This builder for chaining.
@@ -982,6 +1030,10 @@
 
     private long offset_ ;
     /**
+     * <pre>
+     * The log offset of the publication that set or cleared the cell.
+     * </pre>
+     *
      * <code>int64 offset = 5;</code>
      * @return The offset.
      */
@@ -990,6 +1042,10 @@
       return offset_;
     }
     /**
+     * <pre>
+     * The log offset of the publication that set or cleared the cell.
+     * </pre>
+     *
      * <code>int64 offset = 5;</code>
      * @param value The offset to set.
      * @return This builder for chaining.
@@ -1002,6 +1058,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The log offset of the publication that set or cleared the cell.
+     * </pre>
+     *
      * <code>int64 offset = 5;</code>
      * @return This builder for chaining.
      */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CellRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CellRecordOrBuilder.java
@@ -47,16 +47,28 @@
       getColumnBytes();
 
   /**
+   * <pre>
+   * Absent if the cell was cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return Whether the value field is set.
    */
   boolean hasValue();
   /**
+   * <pre>
+   * Absent if the cell was cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return The value.
    */
   java.lang.String getValue();
   /**
+   * <pre>
+   * Absent if the cell was cleared.
+   * </pre>
+   *
    * <code>optional string value = 4;</code>
    * @return The bytes for value.
    */
@@ -64,6 +76,10 @@
       getValueBytes();
 
   /**
+   * <pre>
+   * The log offset of the publication that set or cleared the cell.
+   * </pre>
+   *
    * <code>int64 offset = 5;</code>
    * @return The offset.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/ClaimReply.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/ClaimReply.java
@@ -50,18 +50,34 @@
   public enum Answer
       implements com.google.protobuf.ProtocolMessageEnum {
     /**
+     * <pre>
+     * Counts as HELD, which is always safe.
+     * </pre>
+     *
      * <code>UNSPECIFIED = 0;</code>
      */
     UNSPECIFIED(0),
     /**
+     * <pre>
+     * The replying daemon does not run the request and will not, unless it asks all others again.
+     * </pre>
+     *
      * <code>FREE = 1;</code>
      */
     FREE(1),
     /**
+     * <pre>
+     * The replying daemon runs the request, is claiming it, or does not know whether it ran.
+     * </pre>
+     *
      * <code>HELD = 2;</code>
      */
     HELD(2),
     /**
+     * <pre>
+     * The request ran.
+     * </pre>
+     *
      * <code>RAN = 3;</code>
      */
     RAN(3),
@@ -78,18 +94,34 @@
         "Answer");
     }
     /**
+     * <pre>
+     * Counts as HELD, which is always safe.
+     * </pre>
+     *
      * <code>UNSPECIFIED = 0;</code>
      */
     public static final int UNSPECIFIED_VALUE = 0;
     /**
+     * <pre>
+     * The replying daemon does not run the request and will not, unless it asks all others again.
+     * </pre>
+     *
      * <code>FREE = 1;</code>
      */
     public static final int FREE_VALUE = 1;
     /**
+     * <pre>
+     * The replying daemon runs the request, is claiming it, or does not know whether it ran.
+     * </pre>
+     *
      * <code>HELD = 2;</code>
      */
     public static final int HELD_VALUE = 2;
     /**
+     * <pre>
+     * The request ran.
+     * </pre>
+     *
      * <code>RAN = 3;</code>
      */
     public static final int RAN_VALUE = 3;
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/ClaimRequest.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/ClaimRequest.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * Asks whether the sender may run a request that must not be repeated.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.ClaimRequest}
  */
 @com.google.protobuf.Generated
@@ -48,6 +52,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object key_ = "";
   /**
+   * <pre>
+   * The caller group and the idempotency key of the request.
+   * </pre>
+   *
    * <code>string key = 1;</code>
    * @return The key.
    */
@@ -65,6 +73,10 @@
     }
   }
   /**
+   * <pre>
+   * The caller group and the idempotency key of the request.
+   * </pre>
+   *
    * <code>string key = 1;</code>
    * @return The bytes for key.
    */
@@ -240,6 +252,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Asks whether the sender may run a request that must not be repeated.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.ClaimRequest}
    */
   public static final class Builder extends
@@ -379,6 +395,10 @@
 
     private java.lang.Object key_ = "";
     /**
+     * <pre>
+     * The caller group and the idempotency key of the request.
+     * </pre>
+     *
      * <code>string key = 1;</code>
      * @return The key.
      */
@@ -395,6 +415,10 @@
       }
     }
     /**
+     * <pre>
+     * The caller group and the idempotency key of the request.
+     * </pre>
+     *
      * <code>string key = 1;</code>
      * @return The bytes for key.
      */
@@ -412,6 +436,10 @@
       }
     }
     /**
+     * <pre>
+     * The caller group and the idempotency key of the request.
+     * </pre>
+     *
      * <code>string key = 1;</code>
      * @param value The key to set.
      * @return This builder for chaining.
@@ -425,6 +453,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The caller group and the idempotency key of the request.
+     * </pre>
+     *
      * <code>string key = 1;</code>
      * @return This builder for chaining.
      */
@@ -435,6 +467,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The caller group and the idempotency key of the request.
+     * </pre>
+     *
      * <code>string key = 1;</code>
      * @param value The bytes for key to set.
      * @return This builder for chaining.
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/ClaimRequestOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/ClaimRequestOrBuilder.java
@@ -11,11 +11,19 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * The caller group and the idempotency key of the request.
+   * </pre>
+   *
    * <code>string key = 1;</code>
    * @return The key.
    */
   java.lang.String getKey();
   /**
+   * <pre>
+   * The caller group and the idempotency key of the request.
+   * </pre>
+   *
    * <code>string key = 1;</code>
    * @return The bytes for key.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CrashRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CrashRecord.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * A crash of an endpoint.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.CrashRecord}
  */
 @com.google.protobuf.Generated
@@ -98,6 +102,10 @@
   public static final int AGE_MS_FIELD_NUMBER = 3;
   private long ageMs_ = 0L;
   /**
+   * <pre>
+   * Time since a host observed the crash, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 3;</code>
    * @return The ageMs.
    */
@@ -110,6 +118,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.fawndrum.protocol.wire.Fingerprint> under_;
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   @java.lang.Override
@@ -117,6 +129,10 @@
     return under_;
   }
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   @java.lang.Override
@@ -125,6 +141,10 @@
     return under_;
   }
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   @java.lang.Override
@@ -132,6 +152,10 @@
     return under_.size();
   }
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   @java.lang.Override
@@ -139,6 +163,10 @@
     return under_.get(index);
   }
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   @java.lang.Override
@@ -151,7 +179,7 @@
   private long takenAgeMs_ = 0L;
   /**
    * <pre>
-   * How long ago the endpoint last took one of these requests.
+   * Time since the last of these requests was sent to the endpoint, in milliseconds.
    * </pre>
    *
    * <code>int64 taken_age_ms = 5;</code>
@@ -368,6 +396,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * A crash of an endpoint.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.CrashRecord}
    */
   public static final class Builder extends
@@ -706,6 +738,10 @@
 
     private long ageMs_ ;
     /**
+     * <pre>
+     * Time since a host observed the crash, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 3;</code>
      * @return The ageMs.
      */
@@ -714,6 +750,10 @@
       return ageMs_;
     }
     /**
+     * <pre>
+     * Time since a host observed the crash, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 3;</code>
      * @param value The ageMs to set.
      * @return This builder for chaining.
@@ -726,6 +766,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Time since a host observed the crash, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 3;</code>
      * @return This builder for chaining.
      */
@@ -749,6 +793,10 @@
         org.fawndrum.protocol.wire.Fingerprint, org.fawndrum.protocol.wire.Fingerprint.Builder, org.fawndrum.protocol.wire.FingerprintOrBuilder> underBuilder_;
 
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.Fingerprint> getUnderList() {
@@ -759,6 +807,10 @@
       }
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public int getUnderCount() {
@@ -769,6 +821,10 @@
       }
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public org.fawndrum.protocol.wire.Fingerprint getUnder(int index) {
@@ -779,6 +835,10 @@
       }
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public Builder setUnder(
@@ -796,6 +856,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public Builder setUnder(
@@ -810,6 +874,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public Builder addUnder(org.fawndrum.protocol.wire.Fingerprint value) {
@@ -826,6 +894,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public Builder addUnder(
@@ -843,6 +915,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public Builder addUnder(
@@ -857,6 +933,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public Builder addUnder(
@@ -871,6 +951,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public Builder addAllUnder(
@@ -886,6 +970,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public Builder clearUnder() {
@@ -899,6 +987,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public Builder removeUnder(int index) {
@@ -912,6 +1004,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public org.fawndrum.protocol.wire.Fingerprint.Builder getUnderBuilder(
@@ -919,6 +1015,10 @@
       return internalGetUnderFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public org.fawndrum.protocol.wire.FingerprintOrBuilder getUnderOrBuilder(
@@ -929,6 +1029,10 @@
       }
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public java.util.List<? extends org.fawndrum.protocol.wire.FingerprintOrBuilder> 
@@ -940,6 +1044,10 @@
       }
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public org.fawndrum.protocol.wire.Fingerprint.Builder addUnderBuilder() {
@@ -947,6 +1055,10 @@
           org.fawndrum.protocol.wire.Fingerprint.getDefaultInstance());
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public org.fawndrum.protocol.wire.Fingerprint.Builder addUnderBuilder(
@@ -955,6 +1067,10 @@
           index, org.fawndrum.protocol.wire.Fingerprint.getDefaultInstance());
     }
     /**
+     * <pre>
+     * The requests that the endpoint had when it crashed, as far as known.
+     * </pre>
+     *
      * <code>repeated .fawndrum.Fingerprint under = 4;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.Fingerprint.Builder> 
@@ -979,7 +1095,7 @@
     private long takenAgeMs_ ;
     /**
      * <pre>
-     * How long ago the endpoint last took one of these requests.
+     * Time since the last of these requests was sent to the endpoint, in milliseconds.
      * </pre>
      *
      * <code>int64 taken_age_ms = 5;</code>
@@ -991,7 +1107,7 @@
     }
     /**
      * <pre>
-     * How long ago the endpoint last took one of these requests.
+     * Time since the last of these requests was sent to the endpoint, in milliseconds.
      * </pre>
      *
      * <code>int64 taken_age_ms = 5;</code>
@@ -1007,7 +1123,7 @@
     }
     /**
      * <pre>
-     * How long ago the endpoint last took one of these requests.
+     * Time since the last of these requests was sent to the endpoint, in milliseconds.
      * </pre>
      *
      * <code>int64 taken_age_ms = 5;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CrashRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CrashRecordOrBuilder.java
@@ -29,30 +29,54 @@
   long getEndpointIncarnation();
 
   /**
+   * <pre>
+   * Time since a host observed the crash, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 3;</code>
    * @return The ageMs.
    */
   long getAgeMs();
 
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   java.util.List<org.fawndrum.protocol.wire.Fingerprint> 
       getUnderList();
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   org.fawndrum.protocol.wire.Fingerprint getUnder(int index);
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   int getUnderCount();
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   java.util.List<? extends org.fawndrum.protocol.wire.FingerprintOrBuilder> 
       getUnderOrBuilderList();
   /**
+   * <pre>
+   * The requests that the endpoint had when it crashed, as far as known.
+   * </pre>
+   *
    * <code>repeated .fawndrum.Fingerprint under = 4;</code>
    */
   org.fawndrum.protocol.wire.FingerprintOrBuilder getUnderOrBuilder(
@@ -60,7 +84,7 @@
 
   /**
    * <pre>
-   * How long ago the endpoint last took one of these requests.
+   * Time since the last of these requests was sent to the endpoint, in milliseconds.
    * </pre>
    *
    * <code>int64 taken_age_ms = 5;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CrashReport.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CrashReport.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What hosts saw of endpoints that ended while they had requests.
+ * What hosts observed about endpoints that crashed while they had requests.
  * </pre>
  *
  * Protobuf type {@code fawndrum.CrashReport}
@@ -97,6 +97,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.fawndrum.protocol.wire.ServedRecord> served_;
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   @java.lang.Override
@@ -104,6 +108,10 @@
     return served_;
   }
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   @java.lang.Override
@@ -112,6 +120,10 @@
     return served_;
   }
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   @java.lang.Override
@@ -119,6 +131,10 @@
     return served_.size();
   }
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   @java.lang.Override
@@ -126,6 +142,10 @@
     return served_.get(index);
   }
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   @java.lang.Override
@@ -138,6 +158,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.fawndrum.protocol.wire.RefusedRecord> refused_;
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   @java.lang.Override
@@ -145,6 +169,10 @@
     return refused_;
   }
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   @java.lang.Override
@@ -153,6 +181,10 @@
     return refused_;
   }
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   @java.lang.Override
@@ -160,6 +192,10 @@
     return refused_.size();
   }
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   @java.lang.Override
@@ -167,6 +203,10 @@
     return refused_.get(index);
   }
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   @java.lang.Override
@@ -179,7 +219,7 @@
   private boolean whole_ = false;
   /**
    * <pre>
-   * Whether this is all that the sender knows.
+   * Whether the report contains everything that the sender knows.
    * </pre>
    *
    * <code>bool whole = 4;</code>
@@ -194,6 +234,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.fawndrum.protocol.wire.TurnRecord> turns_;
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   @java.lang.Override
@@ -201,6 +245,10 @@
     return turns_;
   }
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   @java.lang.Override
@@ -209,6 +257,10 @@
     return turns_;
   }
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   @java.lang.Override
@@ -216,6 +268,10 @@
     return turns_.size();
   }
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   @java.lang.Override
@@ -223,6 +279,10 @@
     return turns_.get(index);
   }
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   @java.lang.Override
@@ -236,7 +296,8 @@
   private java.util.List<org.fawndrum.protocol.wire.TurnRecord> spent_;
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -247,7 +308,8 @@
   }
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -259,7 +321,8 @@
   }
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -270,7 +333,8 @@
   }
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -281,7 +345,8 @@
   }
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -296,7 +361,7 @@
   private int hops_ = 0;
   /**
    * <pre>
-   * How often this was told on.
+   * Number of times that this report was forwarded.
    * </pre>
    *
    * <code>int32 hops = 7;</code>
@@ -543,7 +608,7 @@
   }
   /**
    * <pre>
-   * What hosts saw of endpoints that ended while they had requests.
+   * What hosts observed about endpoints that crashed while they had requests.
    * </pre>
    *
    * Protobuf type {@code fawndrum.CrashReport}
@@ -1225,6 +1290,10 @@
         org.fawndrum.protocol.wire.ServedRecord, org.fawndrum.protocol.wire.ServedRecord.Builder, org.fawndrum.protocol.wire.ServedRecordOrBuilder> servedBuilder_;
 
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.ServedRecord> getServedList() {
@@ -1235,6 +1304,10 @@
       }
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public int getServedCount() {
@@ -1245,6 +1318,10 @@
       }
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public org.fawndrum.protocol.wire.ServedRecord getServed(int index) {
@@ -1255,6 +1332,10 @@
       }
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public Builder setServed(
@@ -1272,6 +1353,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public Builder setServed(
@@ -1286,6 +1371,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public Builder addServed(org.fawndrum.protocol.wire.ServedRecord value) {
@@ -1302,6 +1391,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public Builder addServed(
@@ -1319,6 +1412,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public Builder addServed(
@@ -1333,6 +1430,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public Builder addServed(
@@ -1347,6 +1448,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public Builder addAllServed(
@@ -1362,6 +1467,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public Builder clearServed() {
@@ -1375,6 +1484,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public Builder removeServed(int index) {
@@ -1388,6 +1501,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public org.fawndrum.protocol.wire.ServedRecord.Builder getServedBuilder(
@@ -1395,6 +1512,10 @@
       return internalGetServedFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public org.fawndrum.protocol.wire.ServedRecordOrBuilder getServedOrBuilder(
@@ -1405,6 +1526,10 @@
       }
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public java.util.List<? extends org.fawndrum.protocol.wire.ServedRecordOrBuilder> 
@@ -1416,6 +1541,10 @@
       }
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public org.fawndrum.protocol.wire.ServedRecord.Builder addServedBuilder() {
@@ -1423,6 +1552,10 @@
           org.fawndrum.protocol.wire.ServedRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public org.fawndrum.protocol.wire.ServedRecord.Builder addServedBuilder(
@@ -1431,6 +1564,10 @@
           index, org.fawndrum.protocol.wire.ServedRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Suspected requests that were answered.
+     * </pre>
+     *
      * <code>repeated .fawndrum.ServedRecord served = 2;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.ServedRecord.Builder> 
@@ -1465,6 +1602,10 @@
         org.fawndrum.protocol.wire.RefusedRecord, org.fawndrum.protocol.wire.RefusedRecord.Builder, org.fawndrum.protocol.wire.RefusedRecordOrBuilder> refusedBuilder_;
 
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.RefusedRecord> getRefusedList() {
@@ -1475,6 +1616,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public int getRefusedCount() {
@@ -1485,6 +1630,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public org.fawndrum.protocol.wire.RefusedRecord getRefused(int index) {
@@ -1495,6 +1644,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public Builder setRefused(
@@ -1512,6 +1665,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public Builder setRefused(
@@ -1526,6 +1683,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public Builder addRefused(org.fawndrum.protocol.wire.RefusedRecord value) {
@@ -1542,6 +1703,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public Builder addRefused(
@@ -1559,6 +1724,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public Builder addRefused(
@@ -1573,6 +1742,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public Builder addRefused(
@@ -1587,6 +1760,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public Builder addAllRefused(
@@ -1602,6 +1779,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public Builder clearRefused() {
@@ -1615,6 +1796,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public Builder removeRefused(int index) {
@@ -1628,6 +1813,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public org.fawndrum.protocol.wire.RefusedRecord.Builder getRefusedBuilder(
@@ -1635,6 +1824,10 @@
       return internalGetRefusedFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public org.fawndrum.protocol.wire.RefusedRecordOrBuilder getRefusedOrBuilder(
@@ -1645,6 +1838,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public java.util.List<? extends org.fawndrum.protocol.wire.RefusedRecordOrBuilder> 
@@ -1656,6 +1853,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public org.fawndrum.protocol.wire.RefusedRecord.Builder addRefusedBuilder() {
@@ -1663,6 +1864,10 @@
           org.fawndrum.protocol.wire.RefusedRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public org.fawndrum.protocol.wire.RefusedRecord.Builder addRefusedBuilder(
@@ -1671,6 +1876,10 @@
           index, org.fawndrum.protocol.wire.RefusedRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Requests that are rejected.
+     * </pre>
+     *
      * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.RefusedRecord.Builder> 
@@ -1695,7 +1904,7 @@
     private boolean whole_ ;
     /**
      * <pre>
-     * Whether this is all that the sender knows.
+     * Whether the report contains everything that the sender knows.
      * </pre>
      *
      * <code>bool whole = 4;</code>
@@ -1707,7 +1916,7 @@
     }
     /**
      * <pre>
-     * Whether this is all that the sender knows.
+     * Whether the report contains everything that the sender knows.
      * </pre>
      *
      * <code>bool whole = 4;</code>
@@ -1723,7 +1932,7 @@
     }
     /**
      * <pre>
-     * Whether this is all that the sender knows.
+     * Whether the report contains everything that the sender knows.
      * </pre>
      *
      * <code>bool whole = 4;</code>
@@ -1749,6 +1958,10 @@
         org.fawndrum.protocol.wire.TurnRecord, org.fawndrum.protocol.wire.TurnRecord.Builder, org.fawndrum.protocol.wire.TurnRecordOrBuilder> turnsBuilder_;
 
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.TurnRecord> getTurnsList() {
@@ -1759,6 +1972,10 @@
       }
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public int getTurnsCount() {
@@ -1769,6 +1986,10 @@
       }
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public org.fawndrum.protocol.wire.TurnRecord getTurns(int index) {
@@ -1779,6 +2000,10 @@
       }
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public Builder setTurns(
@@ -1796,6 +2021,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public Builder setTurns(
@@ -1810,6 +2039,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public Builder addTurns(org.fawndrum.protocol.wire.TurnRecord value) {
@@ -1826,6 +2059,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public Builder addTurns(
@@ -1843,6 +2080,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public Builder addTurns(
@@ -1857,6 +2098,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public Builder addTurns(
@@ -1871,6 +2116,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public Builder addAllTurns(
@@ -1886,6 +2135,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public Builder clearTurns() {
@@ -1899,6 +2152,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public Builder removeTurns(int index) {
@@ -1912,6 +2169,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public org.fawndrum.protocol.wire.TurnRecord.Builder getTurnsBuilder(
@@ -1919,6 +2180,10 @@
       return internalGetTurnsFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public org.fawndrum.protocol.wire.TurnRecordOrBuilder getTurnsOrBuilder(
@@ -1929,6 +2194,10 @@
       }
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public java.util.List<? extends org.fawndrum.protocol.wire.TurnRecordOrBuilder> 
@@ -1940,6 +2209,10 @@
       }
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public org.fawndrum.protocol.wire.TurnRecord.Builder addTurnsBuilder() {
@@ -1947,6 +2220,10 @@
           org.fawndrum.protocol.wire.TurnRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public org.fawndrum.protocol.wire.TurnRecord.Builder addTurnsBuilder(
@@ -1955,6 +2232,10 @@
           index, org.fawndrum.protocol.wire.TurnRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Execution leases: the hosts that send a suspected request next.
+     * </pre>
+     *
      * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.TurnRecord.Builder> 
@@ -1990,7 +2271,8 @@
 
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2004,7 +2286,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2018,7 +2301,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2032,7 +2316,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2053,7 +2338,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2071,7 +2357,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2091,7 +2378,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2112,7 +2400,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2130,7 +2419,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2148,7 +2438,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2167,7 +2458,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2184,7 +2476,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2201,7 +2494,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2212,7 +2506,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2226,7 +2521,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2241,7 +2537,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2252,7 +2549,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2264,7 +2562,8 @@
     }
     /**
      * <pre>
-     * How often hosts ran a suspected request in vain; the turn is the last of these.
+     * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+     * crash. The host and age are those of the last lease of these runs.
      * </pre>
      *
      * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -2291,7 +2590,7 @@
     private int hops_ ;
     /**
      * <pre>
-     * How often this was told on.
+     * Number of times that this report was forwarded.
      * </pre>
      *
      * <code>int32 hops = 7;</code>
@@ -2303,7 +2602,7 @@
     }
     /**
      * <pre>
-     * How often this was told on.
+     * Number of times that this report was forwarded.
      * </pre>
      *
      * <code>int32 hops = 7;</code>
@@ -2319,7 +2618,7 @@
     }
     /**
      * <pre>
-     * How often this was told on.
+     * Number of times that this report was forwarded.
      * </pre>
      *
      * <code>int32 hops = 7;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/CrashReportOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/CrashReportOrBuilder.java
@@ -35,48 +35,88 @@
       int index);
 
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   java.util.List<org.fawndrum.protocol.wire.ServedRecord> 
       getServedList();
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   org.fawndrum.protocol.wire.ServedRecord getServed(int index);
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   int getServedCount();
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   java.util.List<? extends org.fawndrum.protocol.wire.ServedRecordOrBuilder> 
       getServedOrBuilderList();
   /**
+   * <pre>
+   * Suspected requests that were answered.
+   * </pre>
+   *
    * <code>repeated .fawndrum.ServedRecord served = 2;</code>
    */
   org.fawndrum.protocol.wire.ServedRecordOrBuilder getServedOrBuilder(
       int index);
 
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   java.util.List<org.fawndrum.protocol.wire.RefusedRecord> 
       getRefusedList();
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   org.fawndrum.protocol.wire.RefusedRecord getRefused(int index);
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   int getRefusedCount();
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   java.util.List<? extends org.fawndrum.protocol.wire.RefusedRecordOrBuilder> 
       getRefusedOrBuilderList();
   /**
+   * <pre>
+   * Requests that are rejected.
+   * </pre>
+   *
    * <code>repeated .fawndrum.RefusedRecord refused = 3;</code>
    */
   org.fawndrum.protocol.wire.RefusedRecordOrBuilder getRefusedOrBuilder(
@@ -84,7 +124,7 @@
 
   /**
    * <pre>
-   * Whether this is all that the sender knows.
+   * Whether the report contains everything that the sender knows.
    * </pre>
    *
    * <code>bool whole = 4;</code>
@@ -93,24 +133,44 @@
   boolean getWhole();
 
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   java.util.List<org.fawndrum.protocol.wire.TurnRecord> 
       getTurnsList();
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   org.fawndrum.protocol.wire.TurnRecord getTurns(int index);
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   int getTurnsCount();
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   java.util.List<? extends org.fawndrum.protocol.wire.TurnRecordOrBuilder> 
       getTurnsOrBuilderList();
   /**
+   * <pre>
+   * Execution leases: the hosts that send a suspected request next.
+   * </pre>
+   *
    * <code>repeated .fawndrum.TurnRecord turns = 5;</code>
    */
   org.fawndrum.protocol.wire.TurnRecordOrBuilder getTurnsOrBuilder(
@@ -118,7 +178,8 @@
 
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -127,7 +188,8 @@
       getSpentList();
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -135,7 +197,8 @@
   org.fawndrum.protocol.wire.TurnRecord getSpent(int index);
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -143,7 +206,8 @@
   int getSpentCount();
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -152,7 +216,8 @@
       getSpentOrBuilderList();
   /**
    * <pre>
-   * How often hosts ran a suspected request in vain; the turn is the last of these.
+   * Inconclusive runs: how often a host ran a suspected request with neither an answer nor a proven
+   * crash. The host and age are those of the last lease of these runs.
    * </pre>
    *
    * <code>repeated .fawndrum.TurnRecord spent = 6;</code>
@@ -162,7 +227,7 @@
 
   /**
    * <pre>
-   * How often this was told on.
+   * Number of times that this report was forwarded.
    * </pre>
    *
    * <code>int32 hops = 7;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/DaemonPlace.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/DaemonPlace.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Where a daemon is and how much it can pass on for others.
+ * The identity and address of a daemon, and its capacity for forwarding reports of others.
  * </pre>
  *
  * Protobuf type {@code fawndrum.DaemonPlace}
@@ -192,6 +192,10 @@
   public static final int CAPACITY_FIELD_NUMBER = 6;
   private long capacity_ = 0L;
   /**
+   * <pre>
+   * Only compared with that of other daemons; larger is more.
+   * </pre>
+   *
    * <code>int64 capacity = 6;</code>
    * @return The capacity.
    */
@@ -413,7 +417,7 @@
   }
   /**
    * <pre>
-   * Where a daemon is and how much it can pass on for others.
+   * The identity and address of a daemon, and its capacity for forwarding reports of others.
    * </pre>
    *
    * Protobuf type {@code fawndrum.DaemonPlace}
@@ -899,6 +903,10 @@
 
     private long capacity_ ;
     /**
+     * <pre>
+     * Only compared with that of other daemons; larger is more.
+     * </pre>
+     *
      * <code>int64 capacity = 6;</code>
      * @return The capacity.
      */
@@ -907,6 +915,10 @@
       return capacity_;
     }
     /**
+     * <pre>
+     * Only compared with that of other daemons; larger is more.
+     * </pre>
+     *
      * <code>int64 capacity = 6;</code>
      * @param value The capacity to set.
      * @return This builder for chaining.
@@ -919,6 +931,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Only compared with that of other daemons; larger is more.
+     * </pre>
+     *
      * <code>int64 capacity = 6;</code>
      * @return This builder for chaining.
      */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/DaemonPlaceOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/DaemonPlaceOrBuilder.java
@@ -59,6 +59,10 @@
   int getPort();
 
   /**
+   * <pre>
+   * Only compared with that of other daemons; larger is more.
+   * </pre>
+   *
    * <code>int64 capacity = 6;</code>
    * @return The capacity.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/EndpointStart.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/EndpointStart.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * An incarnation of an endpoint.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.EndpointStart}
  */
 @com.google.protobuf.Generated
@@ -263,6 +267,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * An incarnation of an endpoint.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.EndpointStart}
    */
   public static final class Builder extends
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/Fingerprint.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/Fingerprint.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What a request asks and who asks it.
+ * Identifies the content and the caller of a request.
  * </pre>
  *
  * Protobuf type {@code fawndrum.Fingerprint}
@@ -50,6 +50,10 @@
   public static final int BYTES_FIELD_NUMBER = 1;
   private long bytes_ = 0L;
   /**
+   * <pre>
+   * The length of the body, in bytes.
+   * </pre>
+   *
    * <code>int64 bytes = 1;</code>
    * @return The bytes.
    */
@@ -61,6 +65,10 @@
   public static final int HIGH_FIELD_NUMBER = 2;
   private long high_ = 0L;
   /**
+   * <pre>
+   * The first eight bytes of a hash over method, path, caller and body.
+   * </pre>
+   *
    * <code>sfixed64 high = 2;</code>
    * @return The high.
    */
@@ -72,6 +80,10 @@
   public static final int LOW_FIELD_NUMBER = 3;
   private long low_ = 0L;
   /**
+   * <pre>
+   * The next eight bytes of the hash.
+   * </pre>
+   *
    * <code>sfixed64 low = 3;</code>
    * @return The low.
    */
@@ -264,7 +276,7 @@
   }
   /**
    * <pre>
-   * What a request asks and who asks it.
+   * Identifies the content and the caller of a request.
    * </pre>
    *
    * Protobuf type {@code fawndrum.Fingerprint}
@@ -428,6 +440,10 @@
 
     private long bytes_ ;
     /**
+     * <pre>
+     * The length of the body, in bytes.
+     * </pre>
+     *
      * <code>int64 bytes = 1;</code>
      * @return The bytes.
      */
@@ -436,6 +452,10 @@
       return bytes_;
     }
     /**
+     * <pre>
+     * The length of the body, in bytes.
+     * </pre>
+     *
      * <code>int64 bytes = 1;</code>
      * @param value The bytes to set.
      * @return This builder for chaining.
@@ -448,6 +468,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The length of the body, in bytes.
+     * </pre>
+     *
      * <code>int64 bytes = 1;</code>
      * @return This builder for chaining.
      */
@@ -460,6 +484,10 @@
 
     private long high_ ;
     /**
+     * <pre>
+     * The first eight bytes of a hash over method, path, caller and body.
+     * </pre>
+     *
      * <code>sfixed64 high = 2;</code>
      * @return The high.
      */
@@ -468,6 +496,10 @@
       return high_;
     }
     /**
+     * <pre>
+     * The first eight bytes of a hash over method, path, caller and body.
+     * </pre>
+     *
      * <code>sfixed64 high = 2;</code>
      * @param value The high to set.
      * @return This builder for chaining.
@@ -480,6 +512,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The first eight bytes of a hash over method, path, caller and body.
+     * </pre>
+     *
      * <code>sfixed64 high = 2;</code>
      * @return This builder for chaining.
      */
@@ -492,6 +528,10 @@
 
     private long low_ ;
     /**
+     * <pre>
+     * The next eight bytes of the hash.
+     * </pre>
+     *
      * <code>sfixed64 low = 3;</code>
      * @return The low.
      */
@@ -500,6 +540,10 @@
       return low_;
     }
     /**
+     * <pre>
+     * The next eight bytes of the hash.
+     * </pre>
+     *
      * <code>sfixed64 low = 3;</code>
      * @param value The low to set.
      * @return This builder for chaining.
@@ -512,6 +556,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The next eight bytes of the hash.
+     * </pre>
+     *
      * <code>sfixed64 low = 3;</code>
      * @return This builder for chaining.
      */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/FingerprintOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/FingerprintOrBuilder.java
@@ -11,18 +11,30 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * The length of the body, in bytes.
+   * </pre>
+   *
    * <code>int64 bytes = 1;</code>
    * @return The bytes.
    */
   long getBytes();
 
   /**
+   * <pre>
+   * The first eight bytes of a hash over method, path, caller and body.
+   * </pre>
+   *
    * <code>sfixed64 high = 2;</code>
    * @return The high.
    */
   long getHigh();
 
   /**
+   * <pre>
+   * The next eight bytes of the hash.
+   * </pre>
+   *
    * <code>sfixed64 low = 3;</code>
    * @return The low.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/FleetNews.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/FleetNews.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Reports of daemons, as they go from one daemon to the next.
+ * Reports of daemons, as they are sent and forwarded between daemons, with updates about endpoints.
  * </pre>
  *
  * Protobuf type {@code fawndrum.FleetNews}
@@ -54,10 +54,6 @@
   public static final int SENDER_FIELD_NUMBER = 1;
   private org.fawndrum.protocol.wire.DaemonPlace sender_;
   /**
-   * <pre>
-   * The sender.
-   * </pre>
-   *
    * <code>.fawndrum.DaemonPlace sender = 1;</code>
    * @return Whether the sender field is set.
    */
@@ -66,10 +62,6 @@
     return ((bitField0_ & 0x00000001) != 0);
   }
   /**
-   * <pre>
-   * The sender.
-   * </pre>
-   *
    * <code>.fawndrum.DaemonPlace sender = 1;</code>
    * @return The sender.
    */
@@ -78,10 +70,6 @@
     return sender_ == null ? org.fawndrum.protocol.wire.DaemonPlace.getDefaultInstance() : sender_;
   }
   /**
-   * <pre>
-   * The sender.
-   * </pre>
-   *
    * <code>.fawndrum.DaemonPlace sender = 1;</code>
    */
   @java.lang.Override
@@ -93,7 +81,8 @@
   private boolean subscribes_ = false;
   /**
    * <pre>
-   * Whether the sender wants all reports that the receiver gets from now on.
+   * Whether the sender subscribes to all reports that the receiver gets from now on. If false, an
+   * earlier subscription is unchanged; it lapses unless it is renewed.
    * </pre>
    *
    * <code>bool subscribes = 2;</code>
@@ -150,7 +139,8 @@
   private java.util.List<org.fawndrum.protocol.wire.DaemonPlace> known_;
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -161,7 +151,8 @@
   }
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -173,7 +164,8 @@
   }
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -184,7 +176,8 @@
   }
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -195,7 +188,8 @@
   }
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -210,7 +204,8 @@
   private long configurationRevision_ = 0L;
   /**
    * <pre>
-   * What the sender has read from the store, so that the receiver can ask for it; -1 for nothing.
+   * The configuration revision that the sender has read from the store, so that the receiver can
+   * request it. -1 if there is none.
    * </pre>
    *
    * <code>int64 configuration_revision = 5;</code>
@@ -224,6 +219,11 @@
   public static final int ENDPOINTS_CHANGED_FIELD_NUMBER = 6;
   private long endpointsChanged_ = 0L;
   /**
+   * <pre>
+   * The store offset after the last change of the endpoints' entries that the sender has read, so
+   * that the receiver can request them. -1 if there is none.
+   * </pre>
+   *
    * <code>int64 endpoints_changed = 6;</code>
    * @return The endpointsChanged.
    */
@@ -236,7 +236,7 @@
   private org.fawndrum.protocol.wire.CrashReport crashes_;
   /**
    * <pre>
-   * Endpoints that ended under requests.
+   * Endpoints that crashed while they had requests. Absent if there is nothing to report.
    * </pre>
    *
    * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -248,7 +248,7 @@
   }
   /**
    * <pre>
-   * Endpoints that ended under requests.
+   * Endpoints that crashed while they had requests. Absent if there is nothing to report.
    * </pre>
    *
    * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -260,7 +260,7 @@
   }
   /**
    * <pre>
-   * Endpoints that ended under requests.
+   * Endpoints that crashed while they had requests. Absent if there is nothing to report.
    * </pre>
    *
    * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -274,7 +274,8 @@
   private long crashSummary_ = 0L;
   /**
    * <pre>
-   * What the sender knows of that, as a number that is the same for all who know the same.
+   * A hash of all that the sender knows about such crashes; equal for all daemons that know the
+   * same.
    * </pre>
    *
    * <code>sfixed64 crash_summary = 8;</code>
@@ -290,7 +291,7 @@
   private java.util.List<org.fawndrum.protocol.wire.EndpointStart> leaving_;
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -301,7 +302,7 @@
   }
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -313,7 +314,7 @@
   }
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -324,7 +325,7 @@
   }
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -335,7 +336,7 @@
   }
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -350,7 +351,7 @@
   private long endpointsEra_ = 0L;
   /**
    * <pre>
-   * The store's era in which `endpoints_changed` is; -1 for nothing.
+   * The epoch of the store to which `endpoints_changed` belongs. -1 if there is none.
    * </pre>
    *
    * <code>int64 endpoints_era = 10;</code>
@@ -640,7 +641,7 @@
   }
   /**
    * <pre>
-   * Reports of daemons, as they go from one daemon to the next.
+   * Reports of daemons, as they are sent and forwarded between daemons, with updates about endpoints.
    * </pre>
    *
    * Protobuf type {@code fawndrum.FleetNews}
@@ -1053,10 +1054,6 @@
     private com.google.protobuf.SingleFieldBuilder<
         org.fawndrum.protocol.wire.DaemonPlace, org.fawndrum.protocol.wire.DaemonPlace.Builder, org.fawndrum.protocol.wire.DaemonPlaceOrBuilder> senderBuilder_;
     /**
-     * <pre>
-     * The sender.
-     * </pre>
-     *
      * <code>.fawndrum.DaemonPlace sender = 1;</code>
      * @return Whether the sender field is set.
      */
@@ -1064,10 +1061,6 @@
       return ((bitField0_ & 0x00000001) != 0);
     }
     /**
-     * <pre>
-     * The sender.
-     * </pre>
-     *
      * <code>.fawndrum.DaemonPlace sender = 1;</code>
      * @return The sender.
      */
@@ -1079,10 +1072,6 @@
       }
     }
     /**
-     * <pre>
-     * The sender.
-     * </pre>
-     *
      * <code>.fawndrum.DaemonPlace sender = 1;</code>
      */
     public Builder setSender(org.fawndrum.protocol.wire.DaemonPlace value) {
@@ -1099,10 +1088,6 @@
       return this;
     }
     /**
-     * <pre>
-     * The sender.
-     * </pre>
-     *
      * <code>.fawndrum.DaemonPlace sender = 1;</code>
      */
     public Builder setSender(
@@ -1117,10 +1102,6 @@
       return this;
     }
     /**
-     * <pre>
-     * The sender.
-     * </pre>
-     *
      * <code>.fawndrum.DaemonPlace sender = 1;</code>
      */
     public Builder mergeSender(org.fawndrum.protocol.wire.DaemonPlace value) {
@@ -1142,10 +1123,6 @@
       return this;
     }
     /**
-     * <pre>
-     * The sender.
-     * </pre>
-     *
      * <code>.fawndrum.DaemonPlace sender = 1;</code>
      */
     public Builder clearSender() {
@@ -1159,10 +1136,6 @@
       return this;
     }
     /**
-     * <pre>
-     * The sender.
-     * </pre>
-     *
      * <code>.fawndrum.DaemonPlace sender = 1;</code>
      */
     public org.fawndrum.protocol.wire.DaemonPlace.Builder getSenderBuilder() {
@@ -1171,10 +1144,6 @@
       return internalGetSenderFieldBuilder().getBuilder();
     }
     /**
-     * <pre>
-     * The sender.
-     * </pre>
-     *
      * <code>.fawndrum.DaemonPlace sender = 1;</code>
      */
     public org.fawndrum.protocol.wire.DaemonPlaceOrBuilder getSenderOrBuilder() {
@@ -1186,10 +1155,6 @@
       }
     }
     /**
-     * <pre>
-     * The sender.
-     * </pre>
-     *
      * <code>.fawndrum.DaemonPlace sender = 1;</code>
      */
     private com.google.protobuf.SingleFieldBuilder<
@@ -1209,7 +1174,8 @@
     private boolean subscribes_ ;
     /**
      * <pre>
-     * Whether the sender wants all reports that the receiver gets from now on.
+     * Whether the sender subscribes to all reports that the receiver gets from now on. If false, an
+     * earlier subscription is unchanged; it lapses unless it is renewed.
      * </pre>
      *
      * <code>bool subscribes = 2;</code>
@@ -1221,7 +1187,8 @@
     }
     /**
      * <pre>
-     * Whether the sender wants all reports that the receiver gets from now on.
+     * Whether the sender subscribes to all reports that the receiver gets from now on. If false, an
+     * earlier subscription is unchanged; it lapses unless it is renewed.
      * </pre>
      *
      * <code>bool subscribes = 2;</code>
@@ -1237,7 +1204,8 @@
     }
     /**
      * <pre>
-     * Whether the sender wants all reports that the receiver gets from now on.
+     * Whether the sender subscribes to all reports that the receiver gets from now on. If false, an
+     * earlier subscription is unchanged; it lapses unless it is renewed.
      * </pre>
      *
      * <code>bool subscribes = 2;</code>
@@ -1504,7 +1472,8 @@
 
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1518,7 +1487,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1532,7 +1502,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1546,7 +1517,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1567,7 +1539,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1585,7 +1558,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1605,7 +1579,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1626,7 +1601,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1644,7 +1620,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1662,7 +1639,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1681,7 +1659,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1698,7 +1677,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1715,7 +1695,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1726,7 +1707,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1740,7 +1722,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1755,7 +1738,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1766,7 +1750,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1778,7 +1763,8 @@
     }
     /**
      * <pre>
-     * Daemons that are alive; told to one that was not known before.
+     * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+     * known before; otherwise empty.
      * </pre>
      *
      * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -1805,7 +1791,8 @@
     private long configurationRevision_ ;
     /**
      * <pre>
-     * What the sender has read from the store, so that the receiver can ask for it; -1 for nothing.
+     * The configuration revision that the sender has read from the store, so that the receiver can
+     * request it. -1 if there is none.
      * </pre>
      *
      * <code>int64 configuration_revision = 5;</code>
@@ -1817,7 +1804,8 @@
     }
     /**
      * <pre>
-     * What the sender has read from the store, so that the receiver can ask for it; -1 for nothing.
+     * The configuration revision that the sender has read from the store, so that the receiver can
+     * request it. -1 if there is none.
      * </pre>
      *
      * <code>int64 configuration_revision = 5;</code>
@@ -1833,7 +1821,8 @@
     }
     /**
      * <pre>
-     * What the sender has read from the store, so that the receiver can ask for it; -1 for nothing.
+     * The configuration revision that the sender has read from the store, so that the receiver can
+     * request it. -1 if there is none.
      * </pre>
      *
      * <code>int64 configuration_revision = 5;</code>
@@ -1848,6 +1837,11 @@
 
     private long endpointsChanged_ ;
     /**
+     * <pre>
+     * The store offset after the last change of the endpoints' entries that the sender has read, so
+     * that the receiver can request them. -1 if there is none.
+     * </pre>
+     *
      * <code>int64 endpoints_changed = 6;</code>
      * @return The endpointsChanged.
      */
@@ -1856,6 +1850,11 @@
       return endpointsChanged_;
     }
     /**
+     * <pre>
+     * The store offset after the last change of the endpoints' entries that the sender has read, so
+     * that the receiver can request them. -1 if there is none.
+     * </pre>
+     *
      * <code>int64 endpoints_changed = 6;</code>
      * @param value The endpointsChanged to set.
      * @return This builder for chaining.
@@ -1868,6 +1867,11 @@
       return this;
     }
     /**
+     * <pre>
+     * The store offset after the last change of the endpoints' entries that the sender has read, so
+     * that the receiver can request them. -1 if there is none.
+     * </pre>
+     *
      * <code>int64 endpoints_changed = 6;</code>
      * @return This builder for chaining.
      */
@@ -1883,7 +1887,7 @@
         org.fawndrum.protocol.wire.CrashReport, org.fawndrum.protocol.wire.CrashReport.Builder, org.fawndrum.protocol.wire.CrashReportOrBuilder> crashesBuilder_;
     /**
      * <pre>
-     * Endpoints that ended under requests.
+     * Endpoints that crashed while they had requests. Absent if there is nothing to report.
      * </pre>
      *
      * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -1894,7 +1898,7 @@
     }
     /**
      * <pre>
-     * Endpoints that ended under requests.
+     * Endpoints that crashed while they had requests. Absent if there is nothing to report.
      * </pre>
      *
      * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -1909,7 +1913,7 @@
     }
     /**
      * <pre>
-     * Endpoints that ended under requests.
+     * Endpoints that crashed while they had requests. Absent if there is nothing to report.
      * </pre>
      *
      * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -1929,7 +1933,7 @@
     }
     /**
      * <pre>
-     * Endpoints that ended under requests.
+     * Endpoints that crashed while they had requests. Absent if there is nothing to report.
      * </pre>
      *
      * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -1947,7 +1951,7 @@
     }
     /**
      * <pre>
-     * Endpoints that ended under requests.
+     * Endpoints that crashed while they had requests. Absent if there is nothing to report.
      * </pre>
      *
      * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -1972,7 +1976,7 @@
     }
     /**
      * <pre>
-     * Endpoints that ended under requests.
+     * Endpoints that crashed while they had requests. Absent if there is nothing to report.
      * </pre>
      *
      * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -1989,7 +1993,7 @@
     }
     /**
      * <pre>
-     * Endpoints that ended under requests.
+     * Endpoints that crashed while they had requests. Absent if there is nothing to report.
      * </pre>
      *
      * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -2001,7 +2005,7 @@
     }
     /**
      * <pre>
-     * Endpoints that ended under requests.
+     * Endpoints that crashed while they had requests. Absent if there is nothing to report.
      * </pre>
      *
      * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -2016,7 +2020,7 @@
     }
     /**
      * <pre>
-     * Endpoints that ended under requests.
+     * Endpoints that crashed while they had requests. Absent if there is nothing to report.
      * </pre>
      *
      * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -2038,7 +2042,8 @@
     private long crashSummary_ ;
     /**
      * <pre>
-     * What the sender knows of that, as a number that is the same for all who know the same.
+     * A hash of all that the sender knows about such crashes; equal for all daemons that know the
+     * same.
      * </pre>
      *
      * <code>sfixed64 crash_summary = 8;</code>
@@ -2050,7 +2055,8 @@
     }
     /**
      * <pre>
-     * What the sender knows of that, as a number that is the same for all who know the same.
+     * A hash of all that the sender knows about such crashes; equal for all daemons that know the
+     * same.
      * </pre>
      *
      * <code>sfixed64 crash_summary = 8;</code>
@@ -2066,7 +2072,8 @@
     }
     /**
      * <pre>
-     * What the sender knows of that, as a number that is the same for all who know the same.
+     * A hash of all that the sender knows about such crashes; equal for all daemons that know the
+     * same.
      * </pre>
      *
      * <code>sfixed64 crash_summary = 8;</code>
@@ -2093,7 +2100,7 @@
 
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2107,7 +2114,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2121,7 +2128,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2135,7 +2142,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2156,7 +2163,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2174,7 +2181,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2194,7 +2201,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2215,7 +2222,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2233,7 +2240,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2251,7 +2258,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2270,7 +2277,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2287,7 +2294,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2304,7 +2311,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2315,7 +2322,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2329,7 +2336,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2344,7 +2351,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2355,7 +2362,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2367,7 +2374,7 @@
     }
     /**
      * <pre>
-     * Endpoints that the sender learned to be leaving within the last seconds.
+     * Endpoints that the sender learned to be draining within the last seconds.
      * </pre>
      *
      * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -2394,7 +2401,7 @@
     private long endpointsEra_ ;
     /**
      * <pre>
-     * The store's era in which `endpoints_changed` is; -1 for nothing.
+     * The epoch of the store to which `endpoints_changed` belongs. -1 if there is none.
      * </pre>
      *
      * <code>int64 endpoints_era = 10;</code>
@@ -2406,7 +2413,7 @@
     }
     /**
      * <pre>
-     * The store's era in which `endpoints_changed` is; -1 for nothing.
+     * The epoch of the store to which `endpoints_changed` belongs. -1 if there is none.
      * </pre>
      *
      * <code>int64 endpoints_era = 10;</code>
@@ -2422,7 +2429,7 @@
     }
     /**
      * <pre>
-     * The store's era in which `endpoints_changed` is; -1 for nothing.
+     * The epoch of the store to which `endpoints_changed` belongs. -1 if there is none.
      * </pre>
      *
      * <code>int64 endpoints_era = 10;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/FleetNewsOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/FleetNewsOrBuilder.java
@@ -11,35 +11,24 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
-   * <pre>
-   * The sender.
-   * </pre>
-   *
    * <code>.fawndrum.DaemonPlace sender = 1;</code>
    * @return Whether the sender field is set.
    */
   boolean hasSender();
   /**
-   * <pre>
-   * The sender.
-   * </pre>
-   *
    * <code>.fawndrum.DaemonPlace sender = 1;</code>
    * @return The sender.
    */
   org.fawndrum.protocol.wire.DaemonPlace getSender();
   /**
-   * <pre>
-   * The sender.
-   * </pre>
-   *
    * <code>.fawndrum.DaemonPlace sender = 1;</code>
    */
   org.fawndrum.protocol.wire.DaemonPlaceOrBuilder getSenderOrBuilder();
 
   /**
    * <pre>
-   * Whether the sender wants all reports that the receiver gets from now on.
+   * Whether the sender subscribes to all reports that the receiver gets from now on. If false, an
+   * earlier subscription is unchanged; it lapses unless it is renewed.
    * </pre>
    *
    * <code>bool subscribes = 2;</code>
@@ -73,7 +62,8 @@
 
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -82,7 +72,8 @@
       getKnownList();
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -90,7 +81,8 @@
   org.fawndrum.protocol.wire.DaemonPlace getKnown(int index);
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -98,7 +90,8 @@
   int getKnownCount();
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -107,7 +100,8 @@
       getKnownOrBuilderList();
   /**
    * <pre>
-   * Daemons that are alive; told to one that was not known before.
+   * Daemons that are alive. Sent in reply to a subscription, for example of a daemon that was not
+   * known before; otherwise empty.
    * </pre>
    *
    * <code>repeated .fawndrum.DaemonPlace known = 4;</code>
@@ -117,7 +111,8 @@
 
   /**
    * <pre>
-   * What the sender has read from the store, so that the receiver can ask for it; -1 for nothing.
+   * The configuration revision that the sender has read from the store, so that the receiver can
+   * request it. -1 if there is none.
    * </pre>
    *
    * <code>int64 configuration_revision = 5;</code>
@@ -126,6 +121,11 @@
   long getConfigurationRevision();
 
   /**
+   * <pre>
+   * The store offset after the last change of the endpoints' entries that the sender has read, so
+   * that the receiver can request them. -1 if there is none.
+   * </pre>
+   *
    * <code>int64 endpoints_changed = 6;</code>
    * @return The endpointsChanged.
    */
@@ -133,7 +133,7 @@
 
   /**
    * <pre>
-   * Endpoints that ended under requests.
+   * Endpoints that crashed while they had requests. Absent if there is nothing to report.
    * </pre>
    *
    * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -142,7 +142,7 @@
   boolean hasCrashes();
   /**
    * <pre>
-   * Endpoints that ended under requests.
+   * Endpoints that crashed while they had requests. Absent if there is nothing to report.
    * </pre>
    *
    * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -151,7 +151,7 @@
   org.fawndrum.protocol.wire.CrashReport getCrashes();
   /**
    * <pre>
-   * Endpoints that ended under requests.
+   * Endpoints that crashed while they had requests. Absent if there is nothing to report.
    * </pre>
    *
    * <code>.fawndrum.CrashReport crashes = 7;</code>
@@ -160,7 +160,8 @@
 
   /**
    * <pre>
-   * What the sender knows of that, as a number that is the same for all who know the same.
+   * A hash of all that the sender knows about such crashes; equal for all daemons that know the
+   * same.
    * </pre>
    *
    * <code>sfixed64 crash_summary = 8;</code>
@@ -170,7 +171,7 @@
 
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -179,7 +180,7 @@
       getLeavingList();
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -187,7 +188,7 @@
   org.fawndrum.protocol.wire.EndpointStart getLeaving(int index);
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -195,7 +196,7 @@
   int getLeavingCount();
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -204,7 +205,7 @@
       getLeavingOrBuilderList();
   /**
    * <pre>
-   * Endpoints that the sender learned to be leaving within the last seconds.
+   * Endpoints that the sender learned to be draining within the last seconds.
    * </pre>
    *
    * <code>repeated .fawndrum.EndpointStart leaving = 9;</code>
@@ -214,7 +215,7 @@
 
   /**
    * <pre>
-   * The store's era in which `endpoints_changed` is; -1 for nothing.
+   * The epoch of the store to which `endpoints_changed` belongs. -1 if there is none.
    * </pre>
    *
    * <code>int64 endpoints_era = 10;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/Heartbeat.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/Heartbeat.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * The state of the sender.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.Heartbeat}
  */
 @com.google.protobuf.Generated
@@ -138,6 +142,10 @@
   public static final int SEQUENCE_FIELD_NUMBER = 4;
   private long sequence_ = 0L;
   /**
+   * <pre>
+   * Increases with each heartbeat of the incarnation.
+   * </pre>
+   *
    * <code>int64 sequence = 4;</code>
    * @return The sequence.
    */
@@ -149,6 +157,10 @@
   public static final int TABLE_REVISION_FIELD_NUMBER = 5;
   private long tableRevision_ = 0L;
   /**
+   * <pre>
+   * The table revision in force at the sender. -1 if it has no table.
+   * </pre>
+   *
    * <code>int64 table_revision = 5;</code>
    * @return The tableRevision.
    */
@@ -160,6 +172,10 @@
   public static final int TABLE_POSITION_FIELD_NUMBER = 6;
   private long tablePosition_ = 0L;
   /**
+   * <pre>
+   * The log position replayed at the sender. -1 if it has no table.
+   * </pre>
+   *
    * <code>int64 table_position = 6;</code>
    * @return The tablePosition.
    */
@@ -171,6 +187,10 @@
   public static final int LISTING_VERSION_FIELD_NUMBER = 7;
   private long listingVersion_ = 0L;
   /**
+   * <pre>
+   * The version of the host list at the sender.
+   * </pre>
+   *
    * <code>int64 listing_version = 7;</code>
    * @return The listingVersion.
    */
@@ -182,6 +202,10 @@
   public static final int DRAINING_FIELD_NUMBER = 8;
   private boolean draining_ = false;
   /**
+   * <pre>
+   * Whether the sender is shutting down.
+   * </pre>
+   *
    * <code>bool draining = 8;</code>
    * @return The draining.
    */
@@ -194,7 +218,8 @@
   private long waitingTokens_ = 0L;
   /**
    * <pre>
-   * Sums over the sender's own requests; a speaker sums up its zone for other zones.
+   * The number, despite the name, of the sender's own requests that wait. A zone leader sends its
+   * own number to other zones too, not a sum over its zone.
    * </pre>
    *
    * <code>int64 waiting_tokens = 9;</code>
@@ -208,6 +233,10 @@
   public static final int RUNNING_REQUESTS_FIELD_NUMBER = 10;
   private long runningRequests_ = 0L;
   /**
+   * <pre>
+   * The number of the sender's own requests in progress.
+   * </pre>
+   *
    * <code>int64 running_requests = 10;</code>
    * @return The runningRequests.
    */
@@ -220,7 +249,7 @@
   private com.google.protobuf.ByteString loadDigest_ = com.google.protobuf.ByteString.EMPTY;
   /**
    * <pre>
-   * Quantized load of the endpoints that the sender watches.
+   * Quantized load of the endpoints that the sender watches. Empty if there is none.
    * </pre>
    *
    * <code>bytes load_digest = 11;</code>
@@ -504,6 +533,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * The state of the sender.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.Heartbeat}
    */
   public static final class Builder extends
@@ -941,6 +974,10 @@
 
     private long sequence_ ;
     /**
+     * <pre>
+     * Increases with each heartbeat of the incarnation.
+     * </pre>
+     *
      * <code>int64 sequence = 4;</code>
      * @return The sequence.
      */
@@ -949,6 +986,10 @@
       return sequence_;
     }
     /**
+     * <pre>
+     * Increases with each heartbeat of the incarnation.
+     * </pre>
+     *
      * <code>int64 sequence = 4;</code>
      * @param value The sequence to set.
      * @return This builder for chaining.
@@ -961,6 +1002,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Increases with each heartbeat of the incarnation.
+     * </pre>
+     *
      * <code>int64 sequence = 4;</code>
      * @return This builder for chaining.
      */
@@ -973,6 +1018,10 @@
 
     private long tableRevision_ ;
     /**
+     * <pre>
+     * The table revision in force at the sender. -1 if it has no table.
+     * </pre>
+     *
      * <code>int64 table_revision = 5;</code>
      * @return The tableRevision.
      */
@@ -981,6 +1030,10 @@
       return tableRevision_;
     }
     /**
+     * <pre>
+     * The table revision in force at the sender. -1 if it has no table.
+     * </pre>
+     *
      * <code>int64 table_revision = 5;</code>
      * @param value The tableRevision to set.
      * @return This builder for chaining.
@@ -993,6 +1046,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The table revision in force at the sender. -1 if it has no table.
+     * </pre>
+     *
      * <code>int64 table_revision = 5;</code>
      * @return This builder for chaining.
      */
@@ -1005,6 +1062,10 @@
 
     private long tablePosition_ ;
     /**
+     * <pre>
+     * The log position replayed at the sender. -1 if it has no table.
+     * </pre>
+     *
      * <code>int64 table_position = 6;</code>
      * @return The tablePosition.
      */
@@ -1013,6 +1074,10 @@
       return tablePosition_;
     }
     /**
+     * <pre>
+     * The log position replayed at the sender. -1 if it has no table.
+     * </pre>
+     *
      * <code>int64 table_position = 6;</code>
      * @param value The tablePosition to set.
      * @return This builder for chaining.
@@ -1025,6 +1090,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The log position replayed at the sender. -1 if it has no table.
+     * </pre>
+     *
      * <code>int64 table_position = 6;</code>
      * @return This builder for chaining.
      */
@@ -1037,6 +1106,10 @@
 
     private long listingVersion_ ;
     /**
+     * <pre>
+     * The version of the host list at the sender.
+     * </pre>
+     *
      * <code>int64 listing_version = 7;</code>
      * @return The listingVersion.
      */
@@ -1045,6 +1118,10 @@
       return listingVersion_;
     }
     /**
+     * <pre>
+     * The version of the host list at the sender.
+     * </pre>
+     *
      * <code>int64 listing_version = 7;</code>
      * @param value The listingVersion to set.
      * @return This builder for chaining.
@@ -1057,6 +1134,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The version of the host list at the sender.
+     * </pre>
+     *
      * <code>int64 listing_version = 7;</code>
      * @return This builder for chaining.
      */
@@ -1069,6 +1150,10 @@
 
     private boolean draining_ ;
     /**
+     * <pre>
+     * Whether the sender is shutting down.
+     * </pre>
+     *
      * <code>bool draining = 8;</code>
      * @return The draining.
      */
@@ -1077,6 +1162,10 @@
       return draining_;
     }
     /**
+     * <pre>
+     * Whether the sender is shutting down.
+     * </pre>
+     *
      * <code>bool draining = 8;</code>
      * @param value The draining to set.
      * @return This builder for chaining.
@@ -1089,6 +1178,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the sender is shutting down.
+     * </pre>
+     *
      * <code>bool draining = 8;</code>
      * @return This builder for chaining.
      */
@@ -1102,7 +1195,8 @@
     private long waitingTokens_ ;
     /**
      * <pre>
-     * Sums over the sender's own requests; a speaker sums up its zone for other zones.
+     * The number, despite the name, of the sender's own requests that wait. A zone leader sends its
+     * own number to other zones too, not a sum over its zone.
      * </pre>
      *
      * <code>int64 waiting_tokens = 9;</code>
@@ -1114,7 +1208,8 @@
     }
     /**
      * <pre>
-     * Sums over the sender's own requests; a speaker sums up its zone for other zones.
+     * The number, despite the name, of the sender's own requests that wait. A zone leader sends its
+     * own number to other zones too, not a sum over its zone.
      * </pre>
      *
      * <code>int64 waiting_tokens = 9;</code>
@@ -1130,7 +1225,8 @@
     }
     /**
      * <pre>
-     * Sums over the sender's own requests; a speaker sums up its zone for other zones.
+     * The number, despite the name, of the sender's own requests that wait. A zone leader sends its
+     * own number to other zones too, not a sum over its zone.
      * </pre>
      *
      * <code>int64 waiting_tokens = 9;</code>
@@ -1145,6 +1241,10 @@
 
     private long runningRequests_ ;
     /**
+     * <pre>
+     * The number of the sender's own requests in progress.
+     * </pre>
+     *
      * <code>int64 running_requests = 10;</code>
      * @return The runningRequests.
      */
@@ -1153,6 +1253,10 @@
       return runningRequests_;
     }
     /**
+     * <pre>
+     * The number of the sender's own requests in progress.
+     * </pre>
+     *
      * <code>int64 running_requests = 10;</code>
      * @param value The runningRequests to set.
      * @return This builder for chaining.
@@ -1165,6 +1269,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The number of the sender's own requests in progress.
+     * </pre>
+     *
      * <code>int64 running_requests = 10;</code>
      * @return This builder for chaining.
      */
@@ -1178,7 +1286,7 @@
     private com.google.protobuf.ByteString loadDigest_ = com.google.protobuf.ByteString.EMPTY;
     /**
      * <pre>
-     * Quantized load of the endpoints that the sender watches.
+     * Quantized load of the endpoints that the sender watches. Empty if there is none.
      * </pre>
      *
      * <code>bytes load_digest = 11;</code>
@@ -1190,7 +1298,7 @@
     }
     /**
      * <pre>
-     * Quantized load of the endpoints that the sender watches.
+     * Quantized load of the endpoints that the sender watches. Empty if there is none.
      * </pre>
      *
      * <code>bytes load_digest = 11;</code>
@@ -1206,7 +1314,7 @@
     }
     /**
      * <pre>
-     * Quantized load of the endpoints that the sender watches.
+     * Quantized load of the endpoints that the sender watches. Empty if there is none.
      * </pre>
      *
      * <code>bytes load_digest = 11;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/HeartbeatOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/HeartbeatOrBuilder.java
@@ -41,30 +41,50 @@
   int getPeerPort();
 
   /**
+   * <pre>
+   * Increases with each heartbeat of the incarnation.
+   * </pre>
+   *
    * <code>int64 sequence = 4;</code>
    * @return The sequence.
    */
   long getSequence();
 
   /**
+   * <pre>
+   * The table revision in force at the sender. -1 if it has no table.
+   * </pre>
+   *
    * <code>int64 table_revision = 5;</code>
    * @return The tableRevision.
    */
   long getTableRevision();
 
   /**
+   * <pre>
+   * The log position replayed at the sender. -1 if it has no table.
+   * </pre>
+   *
    * <code>int64 table_position = 6;</code>
    * @return The tablePosition.
    */
   long getTablePosition();
 
   /**
+   * <pre>
+   * The version of the host list at the sender.
+   * </pre>
+   *
    * <code>int64 listing_version = 7;</code>
    * @return The listingVersion.
    */
   long getListingVersion();
 
   /**
+   * <pre>
+   * Whether the sender is shutting down.
+   * </pre>
+   *
    * <code>bool draining = 8;</code>
    * @return The draining.
    */
@@ -72,7 +92,8 @@
 
   /**
    * <pre>
-   * Sums over the sender's own requests; a speaker sums up its zone for other zones.
+   * The number, despite the name, of the sender's own requests that wait. A zone leader sends its
+   * own number to other zones too, not a sum over its zone.
    * </pre>
    *
    * <code>int64 waiting_tokens = 9;</code>
@@ -81,6 +102,10 @@
   long getWaitingTokens();
 
   /**
+   * <pre>
+   * The number of the sender's own requests in progress.
+   * </pre>
+   *
    * <code>int64 running_requests = 10;</code>
    * @return The runningRequests.
    */
@@ -88,7 +113,7 @@
 
   /**
    * <pre>
-   * Quantized load of the endpoints that the sender watches.
+   * Quantized load of the endpoints that the sender watches. Empty if there is none.
    * </pre>
    *
    * <code>bytes load_digest = 11;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/KnowledgeReply.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/KnowledgeReply.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * The cached store state of the replying daemon.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.KnowledgeReply}
  */
 @com.google.protobuf.Generated
@@ -49,7 +53,8 @@
   private long configurationAgeMs_ = 0L;
   /**
    * <pre>
-   * How long ago the revision in force there was surely the newest, or none was in the store.
+   * Time since the revision in force there was last confirmed as the newest, or the store as having
+   * none, in milliseconds.
    * </pre>
    *
    * <code>int64 configuration_age_ms = 1;</code>
@@ -63,6 +68,10 @@
   public static final int CONFIGURATION_REVISION_FIELD_NUMBER = 2;
   private long configurationRevision_ = 0L;
   /**
+   * <pre>
+   * The configuration revision in force there. -1 if there is none.
+   * </pre>
+   *
    * <code>int64 configuration_revision = 2;</code>
    * @return The configurationRevision.
    */
@@ -75,7 +84,7 @@
   private org.fawndrum.protocol.wire.StoreRecord configuration_;
   /**
    * <pre>
-   * Left out when the asking host has it already.
+   * Absent if the requesting daemon already has it.
    * </pre>
    *
    * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -87,7 +96,7 @@
   }
   /**
    * <pre>
-   * Left out when the asking host has it already.
+   * Absent if the requesting daemon already has it.
    * </pre>
    *
    * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -99,7 +108,7 @@
   }
   /**
    * <pre>
-   * Left out when the asking host has it already.
+   * Absent if the requesting daemon already has it.
    * </pre>
    *
    * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -112,6 +121,10 @@
   public static final int ENDPOINTS_END_FIELD_NUMBER = 4;
   private long endpointsEnd_ = 0L;
   /**
+   * <pre>
+   * The store offset up to which the endpoints' entries were read. -1 if they never were.
+   * </pre>
+   *
    * <code>int64 endpoints_end = 4;</code>
    * @return The endpointsEnd.
    */
@@ -125,7 +138,7 @@
   private java.util.List<org.fawndrum.protocol.wire.StoreRecord> endpoints_;
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -136,7 +149,7 @@
   }
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -148,7 +161,7 @@
   }
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -159,7 +172,7 @@
   }
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -170,7 +183,7 @@
   }
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -185,7 +198,8 @@
   private long endpointsAgeMs_ = 0L;
   /**
    * <pre>
-   * How long ago the endpoints were surely those; negative when they never were.
+   * Time since the endpoints' entries were last confirmed, in milliseconds. Negative if they never
+   * were.
    * </pre>
    *
    * <code>int64 endpoints_age_ms = 6;</code>
@@ -200,7 +214,7 @@
   private boolean endpointsLeftOut_ = false;
   /**
    * <pre>
-   * Whether `endpoints` is empty because nothing changed since the asking host's last reading.
+   * Whether `endpoints` is empty because nothing changed since the position in the request.
    * </pre>
    *
    * <code>bool endpoints_left_out = 7;</code>
@@ -215,7 +229,7 @@
   private long endpointsEra_ = 0L;
   /**
    * <pre>
-   * The store's era in which `endpoints_end` and the offsets are.
+   * The epoch of the store to which `endpoints_end` and the offsets of the records belong.
    * </pre>
    *
    * <code>int64 endpoints_era = 8;</code>
@@ -230,8 +244,8 @@
   private boolean endpointsChangesOnly_ = false;
   /**
    * <pre>
-   * Whether `endpoints` holds only what changed since the asking host's last reading; an entry that
-   * is gone has no value there.
+   * Whether `endpoints` contains only the changes since the position in the request. The record of
+   * a removed entry has no value then.
    * </pre>
    *
    * <code>bool endpoints_changes_only = 9;</code>
@@ -502,6 +516,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * The cached store state of the replying daemon.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.KnowledgeReply}
    */
   public static final class Builder extends
@@ -801,7 +819,8 @@
     private long configurationAgeMs_ ;
     /**
      * <pre>
-     * How long ago the revision in force there was surely the newest, or none was in the store.
+     * Time since the revision in force there was last confirmed as the newest, or the store as having
+     * none, in milliseconds.
      * </pre>
      *
      * <code>int64 configuration_age_ms = 1;</code>
@@ -813,7 +832,8 @@
     }
     /**
      * <pre>
-     * How long ago the revision in force there was surely the newest, or none was in the store.
+     * Time since the revision in force there was last confirmed as the newest, or the store as having
+     * none, in milliseconds.
      * </pre>
      *
      * <code>int64 configuration_age_ms = 1;</code>
@@ -829,7 +849,8 @@
     }
     /**
      * <pre>
-     * How long ago the revision in force there was surely the newest, or none was in the store.
+     * Time since the revision in force there was last confirmed as the newest, or the store as having
+     * none, in milliseconds.
      * </pre>
      *
      * <code>int64 configuration_age_ms = 1;</code>
@@ -844,6 +865,10 @@
 
     private long configurationRevision_ ;
     /**
+     * <pre>
+     * The configuration revision in force there. -1 if there is none.
+     * </pre>
+     *
      * <code>int64 configuration_revision = 2;</code>
      * @return The configurationRevision.
      */
@@ -852,6 +877,10 @@
       return configurationRevision_;
     }
     /**
+     * <pre>
+     * The configuration revision in force there. -1 if there is none.
+     * </pre>
+     *
      * <code>int64 configuration_revision = 2;</code>
      * @param value The configurationRevision to set.
      * @return This builder for chaining.
@@ -864,6 +893,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The configuration revision in force there. -1 if there is none.
+     * </pre>
+     *
      * <code>int64 configuration_revision = 2;</code>
      * @return This builder for chaining.
      */
@@ -879,7 +912,7 @@
         org.fawndrum.protocol.wire.StoreRecord, org.fawndrum.protocol.wire.StoreRecord.Builder, org.fawndrum.protocol.wire.StoreRecordOrBuilder> configurationBuilder_;
     /**
      * <pre>
-     * Left out when the asking host has it already.
+     * Absent if the requesting daemon already has it.
      * </pre>
      *
      * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -890,7 +923,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has it already.
+     * Absent if the requesting daemon already has it.
      * </pre>
      *
      * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -905,7 +938,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has it already.
+     * Absent if the requesting daemon already has it.
      * </pre>
      *
      * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -925,7 +958,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has it already.
+     * Absent if the requesting daemon already has it.
      * </pre>
      *
      * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -943,7 +976,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has it already.
+     * Absent if the requesting daemon already has it.
      * </pre>
      *
      * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -968,7 +1001,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has it already.
+     * Absent if the requesting daemon already has it.
      * </pre>
      *
      * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -985,7 +1018,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has it already.
+     * Absent if the requesting daemon already has it.
      * </pre>
      *
      * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -997,7 +1030,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has it already.
+     * Absent if the requesting daemon already has it.
      * </pre>
      *
      * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -1012,7 +1045,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has it already.
+     * Absent if the requesting daemon already has it.
      * </pre>
      *
      * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -1033,6 +1066,10 @@
 
     private long endpointsEnd_ ;
     /**
+     * <pre>
+     * The store offset up to which the endpoints' entries were read. -1 if they never were.
+     * </pre>
+     *
      * <code>int64 endpoints_end = 4;</code>
      * @return The endpointsEnd.
      */
@@ -1041,6 +1078,10 @@
       return endpointsEnd_;
     }
     /**
+     * <pre>
+     * The store offset up to which the endpoints' entries were read. -1 if they never were.
+     * </pre>
+     *
      * <code>int64 endpoints_end = 4;</code>
      * @param value The endpointsEnd to set.
      * @return This builder for chaining.
@@ -1053,6 +1094,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The store offset up to which the endpoints' entries were read. -1 if they never were.
+     * </pre>
+     *
      * <code>int64 endpoints_end = 4;</code>
      * @return This builder for chaining.
      */
@@ -1077,7 +1122,7 @@
 
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1091,7 +1136,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1105,7 +1150,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1119,7 +1164,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1140,7 +1185,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1158,7 +1203,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1178,7 +1223,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1199,7 +1244,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1217,7 +1262,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1235,7 +1280,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1254,7 +1299,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1271,7 +1316,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1288,7 +1333,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1299,7 +1344,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1313,7 +1358,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1328,7 +1373,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1339,7 +1384,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1351,7 +1396,7 @@
     }
     /**
      * <pre>
-     * Left out when the asking host has them already.
+     * The endpoints' entries. Empty if the requesting daemon already has them.
      * </pre>
      *
      * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -1378,7 +1423,8 @@
     private long endpointsAgeMs_ ;
     /**
      * <pre>
-     * How long ago the endpoints were surely those; negative when they never were.
+     * Time since the endpoints' entries were last confirmed, in milliseconds. Negative if they never
+     * were.
      * </pre>
      *
      * <code>int64 endpoints_age_ms = 6;</code>
@@ -1390,7 +1436,8 @@
     }
     /**
      * <pre>
-     * How long ago the endpoints were surely those; negative when they never were.
+     * Time since the endpoints' entries were last confirmed, in milliseconds. Negative if they never
+     * were.
      * </pre>
      *
      * <code>int64 endpoints_age_ms = 6;</code>
@@ -1406,7 +1453,8 @@
     }
     /**
      * <pre>
-     * How long ago the endpoints were surely those; negative when they never were.
+     * Time since the endpoints' entries were last confirmed, in milliseconds. Negative if they never
+     * were.
      * </pre>
      *
      * <code>int64 endpoints_age_ms = 6;</code>
@@ -1422,7 +1470,7 @@
     private boolean endpointsLeftOut_ ;
     /**
      * <pre>
-     * Whether `endpoints` is empty because nothing changed since the asking host's last reading.
+     * Whether `endpoints` is empty because nothing changed since the position in the request.
      * </pre>
      *
      * <code>bool endpoints_left_out = 7;</code>
@@ -1434,7 +1482,7 @@
     }
     /**
      * <pre>
-     * Whether `endpoints` is empty because nothing changed since the asking host's last reading.
+     * Whether `endpoints` is empty because nothing changed since the position in the request.
      * </pre>
      *
      * <code>bool endpoints_left_out = 7;</code>
@@ -1450,7 +1498,7 @@
     }
     /**
      * <pre>
-     * Whether `endpoints` is empty because nothing changed since the asking host's last reading.
+     * Whether `endpoints` is empty because nothing changed since the position in the request.
      * </pre>
      *
      * <code>bool endpoints_left_out = 7;</code>
@@ -1466,7 +1514,7 @@
     private long endpointsEra_ ;
     /**
      * <pre>
-     * The store's era in which `endpoints_end` and the offsets are.
+     * The epoch of the store to which `endpoints_end` and the offsets of the records belong.
      * </pre>
      *
      * <code>int64 endpoints_era = 8;</code>
@@ -1478,7 +1526,7 @@
     }
     /**
      * <pre>
-     * The store's era in which `endpoints_end` and the offsets are.
+     * The epoch of the store to which `endpoints_end` and the offsets of the records belong.
      * </pre>
      *
      * <code>int64 endpoints_era = 8;</code>
@@ -1494,7 +1542,7 @@
     }
     /**
      * <pre>
-     * The store's era in which `endpoints_end` and the offsets are.
+     * The epoch of the store to which `endpoints_end` and the offsets of the records belong.
      * </pre>
      *
      * <code>int64 endpoints_era = 8;</code>
@@ -1510,8 +1558,8 @@
     private boolean endpointsChangesOnly_ ;
     /**
      * <pre>
-     * Whether `endpoints` holds only what changed since the asking host's last reading; an entry that
-     * is gone has no value there.
+     * Whether `endpoints` contains only the changes since the position in the request. The record of
+     * a removed entry has no value then.
      * </pre>
      *
      * <code>bool endpoints_changes_only = 9;</code>
@@ -1523,8 +1571,8 @@
     }
     /**
      * <pre>
-     * Whether `endpoints` holds only what changed since the asking host's last reading; an entry that
-     * is gone has no value there.
+     * Whether `endpoints` contains only the changes since the position in the request. The record of
+     * a removed entry has no value then.
      * </pre>
      *
      * <code>bool endpoints_changes_only = 9;</code>
@@ -1540,8 +1588,8 @@
     }
     /**
      * <pre>
-     * Whether `endpoints` holds only what changed since the asking host's last reading; an entry that
-     * is gone has no value there.
+     * Whether `endpoints` contains only the changes since the position in the request. The record of
+     * a removed entry has no value then.
      * </pre>
      *
      * <code>bool endpoints_changes_only = 9;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/KnowledgeReplyOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/KnowledgeReplyOrBuilder.java
@@ -12,7 +12,8 @@
 
   /**
    * <pre>
-   * How long ago the revision in force there was surely the newest, or none was in the store.
+   * Time since the revision in force there was last confirmed as the newest, or the store as having
+   * none, in milliseconds.
    * </pre>
    *
    * <code>int64 configuration_age_ms = 1;</code>
@@ -21,6 +22,10 @@
   long getConfigurationAgeMs();
 
   /**
+   * <pre>
+   * The configuration revision in force there. -1 if there is none.
+   * </pre>
+   *
    * <code>int64 configuration_revision = 2;</code>
    * @return The configurationRevision.
    */
@@ -28,7 +33,7 @@
 
   /**
    * <pre>
-   * Left out when the asking host has it already.
+   * Absent if the requesting daemon already has it.
    * </pre>
    *
    * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -37,7 +42,7 @@
   boolean hasConfiguration();
   /**
    * <pre>
-   * Left out when the asking host has it already.
+   * Absent if the requesting daemon already has it.
    * </pre>
    *
    * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -46,7 +51,7 @@
   org.fawndrum.protocol.wire.StoreRecord getConfiguration();
   /**
    * <pre>
-   * Left out when the asking host has it already.
+   * Absent if the requesting daemon already has it.
    * </pre>
    *
    * <code>optional .fawndrum.StoreRecord configuration = 3;</code>
@@ -54,6 +59,10 @@
   org.fawndrum.protocol.wire.StoreRecordOrBuilder getConfigurationOrBuilder();
 
   /**
+   * <pre>
+   * The store offset up to which the endpoints' entries were read. -1 if they never were.
+   * </pre>
+   *
    * <code>int64 endpoints_end = 4;</code>
    * @return The endpointsEnd.
    */
@@ -61,7 +70,7 @@
 
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -70,7 +79,7 @@
       getEndpointsList();
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -78,7 +87,7 @@
   org.fawndrum.protocol.wire.StoreRecord getEndpoints(int index);
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -86,7 +95,7 @@
   int getEndpointsCount();
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -95,7 +104,7 @@
       getEndpointsOrBuilderList();
   /**
    * <pre>
-   * Left out when the asking host has them already.
+   * The endpoints' entries. Empty if the requesting daemon already has them.
    * </pre>
    *
    * <code>repeated .fawndrum.StoreRecord endpoints = 5;</code>
@@ -105,7 +114,8 @@
 
   /**
    * <pre>
-   * How long ago the endpoints were surely those; negative when they never were.
+   * Time since the endpoints' entries were last confirmed, in milliseconds. Negative if they never
+   * were.
    * </pre>
    *
    * <code>int64 endpoints_age_ms = 6;</code>
@@ -115,7 +125,7 @@
 
   /**
    * <pre>
-   * Whether `endpoints` is empty because nothing changed since the asking host's last reading.
+   * Whether `endpoints` is empty because nothing changed since the position in the request.
    * </pre>
    *
    * <code>bool endpoints_left_out = 7;</code>
@@ -125,7 +135,7 @@
 
   /**
    * <pre>
-   * The store's era in which `endpoints_end` and the offsets are.
+   * The epoch of the store to which `endpoints_end` and the offsets of the records belong.
    * </pre>
    *
    * <code>int64 endpoints_era = 8;</code>
@@ -135,8 +145,8 @@
 
   /**
    * <pre>
-   * Whether `endpoints` holds only what changed since the asking host's last reading; an entry that
-   * is gone has no value there.
+   * Whether `endpoints` contains only the changes since the position in the request. The record of
+   * a removed entry has no value then.
    * </pre>
    *
    * <code>bool endpoints_changes_only = 9;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/KnowledgeRequest.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/KnowledgeRequest.java
@@ -7,7 +7,8 @@
 
 /**
  * <pre>
- * Asks for what another host read from the store; -1 where the sender knows nothing.
+ * Requests the state that another daemon has read from the store. A field is -1 if the sender has
+ * read nothing.
  * </pre>
  *
  * Protobuf type {@code fawndrum.KnowledgeRequest}
@@ -50,6 +51,10 @@
   public static final int CONFIGURATION_REVISION_FIELD_NUMBER = 1;
   private long configurationRevision_ = 0L;
   /**
+   * <pre>
+   * The configuration revision in force at the sender.
+   * </pre>
+   *
    * <code>int64 configuration_revision = 1;</code>
    * @return The configurationRevision.
    */
@@ -61,6 +66,10 @@
   public static final int ENDPOINTS_END_FIELD_NUMBER = 2;
   private long endpointsEnd_ = 0L;
   /**
+   * <pre>
+   * The store offset up to which the sender has read the endpoints' entries.
+   * </pre>
+   *
    * <code>int64 endpoints_end = 2;</code>
    * @return The endpointsEnd.
    */
@@ -73,7 +82,7 @@
   private long endpointsEra_ = 0L;
   /**
    * <pre>
-   * The store's era in which `endpoints_end` is.
+   * The epoch of the store to which `endpoints_end` belongs.
    * </pre>
    *
    * <code>int64 endpoints_era = 3;</code>
@@ -268,7 +277,8 @@
   }
   /**
    * <pre>
-   * Asks for what another host read from the store; -1 where the sender knows nothing.
+   * Requests the state that another daemon has read from the store. A field is -1 if the sender has
+   * read nothing.
    * </pre>
    *
    * Protobuf type {@code fawndrum.KnowledgeRequest}
@@ -432,6 +442,10 @@
 
     private long configurationRevision_ ;
     /**
+     * <pre>
+     * The configuration revision in force at the sender.
+     * </pre>
+     *
      * <code>int64 configuration_revision = 1;</code>
      * @return The configurationRevision.
      */
@@ -440,6 +454,10 @@
       return configurationRevision_;
     }
     /**
+     * <pre>
+     * The configuration revision in force at the sender.
+     * </pre>
+     *
      * <code>int64 configuration_revision = 1;</code>
      * @param value The configurationRevision to set.
      * @return This builder for chaining.
@@ -452,6 +470,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The configuration revision in force at the sender.
+     * </pre>
+     *
      * <code>int64 configuration_revision = 1;</code>
      * @return This builder for chaining.
      */
@@ -464,6 +486,10 @@
 
     private long endpointsEnd_ ;
     /**
+     * <pre>
+     * The store offset up to which the sender has read the endpoints' entries.
+     * </pre>
+     *
      * <code>int64 endpoints_end = 2;</code>
      * @return The endpointsEnd.
      */
@@ -472,6 +498,10 @@
       return endpointsEnd_;
     }
     /**
+     * <pre>
+     * The store offset up to which the sender has read the endpoints' entries.
+     * </pre>
+     *
      * <code>int64 endpoints_end = 2;</code>
      * @param value The endpointsEnd to set.
      * @return This builder for chaining.
@@ -484,6 +514,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The store offset up to which the sender has read the endpoints' entries.
+     * </pre>
+     *
      * <code>int64 endpoints_end = 2;</code>
      * @return This builder for chaining.
      */
@@ -497,7 +531,7 @@
     private long endpointsEra_ ;
     /**
      * <pre>
-     * The store's era in which `endpoints_end` is.
+     * The epoch of the store to which `endpoints_end` belongs.
      * </pre>
      *
      * <code>int64 endpoints_era = 3;</code>
@@ -509,7 +543,7 @@
     }
     /**
      * <pre>
-     * The store's era in which `endpoints_end` is.
+     * The epoch of the store to which `endpoints_end` belongs.
      * </pre>
      *
      * <code>int64 endpoints_era = 3;</code>
@@ -525,7 +559,7 @@
     }
     /**
      * <pre>
-     * The store's era in which `endpoints_end` is.
+     * The epoch of the store to which `endpoints_end` belongs.
      * </pre>
      *
      * <code>int64 endpoints_era = 3;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/KnowledgeRequestOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/KnowledgeRequestOrBuilder.java
@@ -11,12 +11,20 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * The configuration revision in force at the sender.
+   * </pre>
+   *
    * <code>int64 configuration_revision = 1;</code>
    * @return The configurationRevision.
    */
   long getConfigurationRevision();
 
   /**
+   * <pre>
+   * The store offset up to which the sender has read the endpoints' entries.
+   * </pre>
+   *
    * <code>int64 endpoints_end = 2;</code>
    * @return The endpointsEnd.
    */
@@ -24,7 +32,7 @@
 
   /**
    * <pre>
-   * The store's era in which `endpoints_end` is.
+   * The epoch of the store to which `endpoints_end` belongs.
    * </pre>
    *
    * <code>int64 endpoints_era = 3;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/LeavingNews.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/LeavingNews.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Endpoints newly known to be leaving.
+ * Endpoints that the sender newly learned to be draining.
  * </pre>
  *
  * Protobuf type {@code fawndrum.LeavingNews}
@@ -250,7 +250,7 @@
   }
   /**
    * <pre>
-   * Endpoints newly known to be leaving.
+   * Endpoints that the sender newly learned to be draining.
    * </pre>
    *
    * Protobuf type {@code fawndrum.LeavingNews}
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/LedgerEntry.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/LedgerEntry.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * A claim key.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.LedgerEntry}
  */
 @com.google.protobuf.Generated
@@ -86,6 +90,10 @@
   public static final int RAN_FIELD_NUMBER = 2;
   private boolean ran_ = false;
   /**
+   * <pre>
+   * Whether the request ran. If false, that is unknown.
+   * </pre>
+   *
    * <code>bool ran = 2;</code>
    * @return The ran.
    */
@@ -97,6 +105,10 @@
   public static final int AGE_MS_FIELD_NUMBER = 3;
   private long ageMs_ = 0L;
   /**
+   * <pre>
+   * Time since the state of the key last changed, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 3;</code>
    * @return The ageMs.
    */
@@ -286,6 +298,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * A claim key.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.LedgerEntry}
    */
   public static final class Builder extends
@@ -521,6 +537,10 @@
 
     private boolean ran_ ;
     /**
+     * <pre>
+     * Whether the request ran. If false, that is unknown.
+     * </pre>
+     *
      * <code>bool ran = 2;</code>
      * @return The ran.
      */
@@ -529,6 +549,10 @@
       return ran_;
     }
     /**
+     * <pre>
+     * Whether the request ran. If false, that is unknown.
+     * </pre>
+     *
      * <code>bool ran = 2;</code>
      * @param value The ran to set.
      * @return This builder for chaining.
@@ -541,6 +565,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the request ran. If false, that is unknown.
+     * </pre>
+     *
      * <code>bool ran = 2;</code>
      * @return This builder for chaining.
      */
@@ -553,6 +581,10 @@
 
     private long ageMs_ ;
     /**
+     * <pre>
+     * Time since the state of the key last changed, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 3;</code>
      * @return The ageMs.
      */
@@ -561,6 +593,10 @@
       return ageMs_;
     }
     /**
+     * <pre>
+     * Time since the state of the key last changed, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 3;</code>
      * @param value The ageMs to set.
      * @return This builder for chaining.
@@ -573,6 +609,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Time since the state of the key last changed, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 3;</code>
      * @return This builder for chaining.
      */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/LedgerEntryOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/LedgerEntryOrBuilder.java
@@ -23,12 +23,20 @@
       getKeyBytes();
 
   /**
+   * <pre>
+   * Whether the request ran. If false, that is unknown.
+   * </pre>
+   *
    * <code>bool ran = 2;</code>
    * @return The ran.
    */
   boolean getRan();
 
   /**
+   * <pre>
+   * Time since the state of the key last changed, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 3;</code>
    * @return The ageMs.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/LedgerHandover.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/LedgerHandover.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The keys of a daemon that stops for good.
+ * The claim keys of a daemon that shuts down for good.
  * </pre>
  *
  * Protobuf type {@code fawndrum.LedgerHandover}
@@ -250,7 +250,7 @@
   }
   /**
    * <pre>
-   * The keys of a daemon that stops for good.
+   * The claim keys of a daemon that shuts down for good.
    * </pre>
    *
    * Protobuf type {@code fawndrum.LedgerHandover}
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/LogEntry.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/LogEntry.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A record on the platform's log.
+ * A record in the platform's log.
  * </pre>
  *
  * Protobuf type {@code fawndrum.LogEntry}
@@ -386,7 +386,7 @@
   }
   /**
    * <pre>
-   * A record on the platform's log.
+   * A record in the platform's log.
    * </pre>
    *
    * Protobuf type {@code fawndrum.LogEntry}
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/OutcomeRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/OutcomeRecord.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * The result of replaying one publication.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.OutcomeRecord}
  */
 @com.google.protobuf.Generated
@@ -61,14 +65,26 @@
      */
     ACCEPTED(1),
     /**
+     * <pre>
+     * A cell was changed by another publication after the base revision.
+     * </pre>
+     *
      * <code>LOST = 2;</code>
      */
     LOST(2),
     /**
+     * <pre>
+     * A value is not valid for its column.
+     * </pre>
+     *
      * <code>INVALID = 3;</code>
      */
     INVALID(3),
     /**
+     * <pre>
+     * The base revision is not older than the publication's own log offset.
+     * </pre>
+     *
      * <code>FROM_THE_FUTURE = 4;</code>
      */
     FROM_THE_FUTURE(4),
@@ -93,14 +109,26 @@
      */
     public static final int ACCEPTED_VALUE = 1;
     /**
+     * <pre>
+     * A cell was changed by another publication after the base revision.
+     * </pre>
+     *
      * <code>LOST = 2;</code>
      */
     public static final int LOST_VALUE = 2;
     /**
+     * <pre>
+     * A value is not valid for its column.
+     * </pre>
+     *
      * <code>INVALID = 3;</code>
      */
     public static final int INVALID_VALUE = 3;
     /**
+     * <pre>
+     * The base revision is not older than the publication's own log offset.
+     * </pre>
+     *
      * <code>FROM_THE_FUTURE = 4;</code>
      */
     public static final int FROM_THE_FUTURE_VALUE = 4;
@@ -195,6 +223,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object id_ = "";
   /**
+   * <pre>
+   * The id of the publication.
+   * </pre>
+   *
    * <code>string id = 1;</code>
    * @return The id.
    */
@@ -212,6 +244,10 @@
     }
   }
   /**
+   * <pre>
+   * The id of the publication.
+   * </pre>
+   *
    * <code>string id = 1;</code>
    * @return The bytes for id.
    */
@@ -233,6 +269,10 @@
   public static final int OFFSET_FIELD_NUMBER = 2;
   private long offset_ = 0L;
   /**
+   * <pre>
+   * The log offset of the publication.
+   * </pre>
+   *
    * <code>int64 offset = 2;</code>
    * @return The offset.
    */
@@ -262,6 +302,10 @@
   public static final int EDITED_FROM_FIELD_NUMBER = 4;
   private long editedFrom_ = 0L;
   /**
+   * <pre>
+   * The base revision of the publication. Set for FROM_THE_FUTURE only.
+   * </pre>
+   *
    * <code>int64 edited_from = 4;</code>
    * @return The editedFrom.
    */
@@ -274,6 +318,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.fawndrum.protocol.wire.CellRecord> conflicts_;
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   @java.lang.Override
@@ -281,6 +329,10 @@
     return conflicts_;
   }
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   @java.lang.Override
@@ -289,6 +341,10 @@
     return conflicts_;
   }
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   @java.lang.Override
@@ -296,6 +352,10 @@
     return conflicts_.size();
   }
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   @java.lang.Override
@@ -303,6 +363,10 @@
     return conflicts_.get(index);
   }
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   @java.lang.Override
@@ -315,6 +379,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.fawndrum.protocol.wire.BadCellRecord> badCells_;
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   @java.lang.Override
@@ -322,6 +390,10 @@
     return badCells_;
   }
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   @java.lang.Override
@@ -330,6 +402,10 @@
     return badCells_;
   }
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   @java.lang.Override
@@ -337,6 +413,10 @@
     return badCells_.size();
   }
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   @java.lang.Override
@@ -344,6 +424,10 @@
     return badCells_.get(index);
   }
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   @java.lang.Override
@@ -569,6 +653,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * The result of replaying one publication.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.OutcomeRecord}
    */
   public static final class Builder extends
@@ -858,6 +946,10 @@
 
     private java.lang.Object id_ = "";
     /**
+     * <pre>
+     * The id of the publication.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @return The id.
      */
@@ -874,6 +966,10 @@
       }
     }
     /**
+     * <pre>
+     * The id of the publication.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @return The bytes for id.
      */
@@ -891,6 +987,10 @@
       }
     }
     /**
+     * <pre>
+     * The id of the publication.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @param value The id to set.
      * @return This builder for chaining.
@@ -904,6 +1004,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The id of the publication.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @return This builder for chaining.
      */
@@ -914,6 +1018,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The id of the publication.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @param value The bytes for id to set.
      * @return This builder for chaining.
@@ -930,6 +1038,10 @@
 
     private long offset_ ;
     /**
+     * <pre>
+     * The log offset of the publication.
+     * </pre>
+     *
      * <code>int64 offset = 2;</code>
      * @return The offset.
      */
@@ -938,6 +1050,10 @@
       return offset_;
     }
     /**
+     * <pre>
+     * The log offset of the publication.
+     * </pre>
+     *
      * <code>int64 offset = 2;</code>
      * @param value The offset to set.
      * @return This builder for chaining.
@@ -950,6 +1066,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The log offset of the publication.
+     * </pre>
+     *
      * <code>int64 offset = 2;</code>
      * @return This builder for chaining.
      */
@@ -1013,6 +1133,10 @@
 
     private long editedFrom_ ;
     /**
+     * <pre>
+     * The base revision of the publication. Set for FROM_THE_FUTURE only.
+     * </pre>
+     *
      * <code>int64 edited_from = 4;</code>
      * @return The editedFrom.
      */
@@ -1021,6 +1145,10 @@
       return editedFrom_;
     }
     /**
+     * <pre>
+     * The base revision of the publication. Set for FROM_THE_FUTURE only.
+     * </pre>
+     *
      * <code>int64 edited_from = 4;</code>
      * @param value The editedFrom to set.
      * @return This builder for chaining.
@@ -1033,6 +1161,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The base revision of the publication. Set for FROM_THE_FUTURE only.
+     * </pre>
+     *
      * <code>int64 edited_from = 4;</code>
      * @return This builder for chaining.
      */
@@ -1056,6 +1188,10 @@
         org.fawndrum.protocol.wire.CellRecord, org.fawndrum.protocol.wire.CellRecord.Builder, org.fawndrum.protocol.wire.CellRecordOrBuilder> conflictsBuilder_;
 
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.CellRecord> getConflictsList() {
@@ -1066,6 +1202,10 @@
       }
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public int getConflictsCount() {
@@ -1076,6 +1216,10 @@
       }
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public org.fawndrum.protocol.wire.CellRecord getConflicts(int index) {
@@ -1086,6 +1230,10 @@
       }
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public Builder setConflicts(
@@ -1103,6 +1251,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public Builder setConflicts(
@@ -1117,6 +1269,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public Builder addConflicts(org.fawndrum.protocol.wire.CellRecord value) {
@@ -1133,6 +1289,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public Builder addConflicts(
@@ -1150,6 +1310,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public Builder addConflicts(
@@ -1164,6 +1328,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public Builder addConflicts(
@@ -1178,6 +1346,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public Builder addAllConflicts(
@@ -1193,6 +1365,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public Builder clearConflicts() {
@@ -1206,6 +1382,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public Builder removeConflicts(int index) {
@@ -1219,6 +1399,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public org.fawndrum.protocol.wire.CellRecord.Builder getConflictsBuilder(
@@ -1226,6 +1410,10 @@
       return internalGetConflictsFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public org.fawndrum.protocol.wire.CellRecordOrBuilder getConflictsOrBuilder(
@@ -1236,6 +1424,10 @@
       }
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public java.util.List<? extends org.fawndrum.protocol.wire.CellRecordOrBuilder> 
@@ -1247,6 +1439,10 @@
       }
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public org.fawndrum.protocol.wire.CellRecord.Builder addConflictsBuilder() {
@@ -1254,6 +1450,10 @@
           org.fawndrum.protocol.wire.CellRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public org.fawndrum.protocol.wire.CellRecord.Builder addConflictsBuilder(
@@ -1262,6 +1462,10 @@
           index, org.fawndrum.protocol.wire.CellRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * The conflicting cells with their current values. Set for LOST only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.CellRecord.Builder> 
@@ -1296,6 +1500,10 @@
         org.fawndrum.protocol.wire.BadCellRecord, org.fawndrum.protocol.wire.BadCellRecord.Builder, org.fawndrum.protocol.wire.BadCellRecordOrBuilder> badCellsBuilder_;
 
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.BadCellRecord> getBadCellsList() {
@@ -1306,6 +1514,10 @@
       }
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public int getBadCellsCount() {
@@ -1316,6 +1528,10 @@
       }
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public org.fawndrum.protocol.wire.BadCellRecord getBadCells(int index) {
@@ -1326,6 +1542,10 @@
       }
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public Builder setBadCells(
@@ -1343,6 +1563,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public Builder setBadCells(
@@ -1357,6 +1581,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public Builder addBadCells(org.fawndrum.protocol.wire.BadCellRecord value) {
@@ -1373,6 +1601,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public Builder addBadCells(
@@ -1390,6 +1622,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public Builder addBadCells(
@@ -1404,6 +1640,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public Builder addBadCells(
@@ -1418,6 +1658,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public Builder addAllBadCells(
@@ -1433,6 +1677,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public Builder clearBadCells() {
@@ -1446,6 +1694,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public Builder removeBadCells(int index) {
@@ -1459,6 +1711,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public org.fawndrum.protocol.wire.BadCellRecord.Builder getBadCellsBuilder(
@@ -1466,6 +1722,10 @@
       return internalGetBadCellsFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public org.fawndrum.protocol.wire.BadCellRecordOrBuilder getBadCellsOrBuilder(
@@ -1476,6 +1736,10 @@
       }
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public java.util.List<? extends org.fawndrum.protocol.wire.BadCellRecordOrBuilder> 
@@ -1487,6 +1751,10 @@
       }
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public org.fawndrum.protocol.wire.BadCellRecord.Builder addBadCellsBuilder() {
@@ -1494,6 +1762,10 @@
           org.fawndrum.protocol.wire.BadCellRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public org.fawndrum.protocol.wire.BadCellRecord.Builder addBadCellsBuilder(
@@ -1502,6 +1774,10 @@
           index, org.fawndrum.protocol.wire.BadCellRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * The invalid values. Set for INVALID only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.BadCellRecord.Builder> 
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/OutcomeRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/OutcomeRecordOrBuilder.java
@@ -11,11 +11,19 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * The id of the publication.
+   * </pre>
+   *
    * <code>string id = 1;</code>
    * @return The id.
    */
   java.lang.String getId();
   /**
+   * <pre>
+   * The id of the publication.
+   * </pre>
+   *
    * <code>string id = 1;</code>
    * @return The bytes for id.
    */
@@ -23,6 +31,10 @@
       getIdBytes();
 
   /**
+   * <pre>
+   * The log offset of the publication.
+   * </pre>
+   *
    * <code>int64 offset = 2;</code>
    * @return The offset.
    */
@@ -40,54 +52,98 @@
   org.fawndrum.protocol.wire.OutcomeRecord.Kind getKind();
 
   /**
+   * <pre>
+   * The base revision of the publication. Set for FROM_THE_FUTURE only.
+   * </pre>
+   *
    * <code>int64 edited_from = 4;</code>
    * @return The editedFrom.
    */
   long getEditedFrom();
 
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   java.util.List<org.fawndrum.protocol.wire.CellRecord> 
       getConflictsList();
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   org.fawndrum.protocol.wire.CellRecord getConflicts(int index);
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   int getConflictsCount();
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   java.util.List<? extends org.fawndrum.protocol.wire.CellRecordOrBuilder> 
       getConflictsOrBuilderList();
   /**
+   * <pre>
+   * The conflicting cells with their current values. Set for LOST only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellRecord conflicts = 5;</code>
    */
   org.fawndrum.protocol.wire.CellRecordOrBuilder getConflictsOrBuilder(
       int index);
 
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   java.util.List<org.fawndrum.protocol.wire.BadCellRecord> 
       getBadCellsList();
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   org.fawndrum.protocol.wire.BadCellRecord getBadCells(int index);
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   int getBadCellsCount();
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   java.util.List<? extends org.fawndrum.protocol.wire.BadCellRecordOrBuilder> 
       getBadCellsOrBuilderList();
   /**
+   * <pre>
+   * The invalid values. Set for INVALID only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.BadCellRecord bad_cells = 6;</code>
    */
   org.fawndrum.protocol.wire.BadCellRecordOrBuilder getBadCellsOrBuilder(
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/PeerMessage.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/PeerMessage.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What one daemon tells another. `exchange` pairs a reply with its request; 0 asks for no reply.
+ * A message from one daemon to another.
  * </pre>
  *
  * Protobuf type {@code fawndrum.PeerMessage}
@@ -161,6 +161,10 @@
   public static final int EXCHANGE_FIELD_NUMBER = 3;
   private long exchange_ = 0L;
   /**
+   * <pre>
+   * Pairs a reply with its request. 0 if no reply is expected.
+   * </pre>
+   *
    * <code>uint64 exchange = 3;</code>
    * @return The exchange.
    */
@@ -866,7 +870,7 @@
   }
   /**
    * <pre>
-   * What one daemon tells another. `exchange` pairs a reply with its request; 0 asks for no reply.
+   * A message from one daemon to another.
    * </pre>
    *
    * Protobuf type {@code fawndrum.PeerMessage}
@@ -1362,6 +1366,10 @@
 
     private long exchange_ ;
     /**
+     * <pre>
+     * Pairs a reply with its request. 0 if no reply is expected.
+     * </pre>
+     *
      * <code>uint64 exchange = 3;</code>
      * @return The exchange.
      */
@@ -1370,6 +1378,10 @@
       return exchange_;
     }
     /**
+     * <pre>
+     * Pairs a reply with its request. 0 if no reply is expected.
+     * </pre>
+     *
      * <code>uint64 exchange = 3;</code>
      * @param value The exchange to set.
      * @return This builder for chaining.
@@ -1382,6 +1394,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Pairs a reply with its request. 0 if no reply is expected.
+     * </pre>
+     *
      * <code>uint64 exchange = 3;</code>
      * @return This builder for chaining.
      */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/PeerMessageOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/PeerMessageOrBuilder.java
@@ -29,6 +29,10 @@
   long getFromIncarnation();
 
   /**
+   * <pre>
+   * Pairs a reply with its request. 0 if no reply is expected.
+   * </pre>
+   *
    * <code>uint64 exchange = 3;</code>
    * @return The exchange.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/PublicationRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/PublicationRecord.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * An operator's request to change cells.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.PublicationRecord}
  */
 @com.google.protobuf.Generated
@@ -50,6 +54,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object id_ = "";
   /**
+   * <pre>
+   * Unique id chosen by the publisher. A second record with the same id has no effect.
+   * </pre>
+   *
    * <code>string id = 1;</code>
    * @return The id.
    */
@@ -67,6 +75,10 @@
     }
   }
   /**
+   * <pre>
+   * Unique id chosen by the publisher. A second record with the same id has no effect.
+   * </pre>
+   *
    * <code>string id = 1;</code>
    * @return The bytes for id.
    */
@@ -127,6 +139,10 @@
   public static final int EDITED_FROM_FIELD_NUMBER = 3;
   private long editedFrom_ = 0L;
   /**
+   * <pre>
+   * The table revision that the changes are based on.
+   * </pre>
+   *
    * <code>int64 edited_from = 3;</code>
    * @return The editedFrom.
    */
@@ -139,6 +155,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.fawndrum.protocol.wire.CellChangeRecord> changes_;
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   @java.lang.Override
@@ -146,6 +166,10 @@
     return changes_;
   }
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   @java.lang.Override
@@ -154,6 +178,10 @@
     return changes_;
   }
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   @java.lang.Override
@@ -161,6 +189,10 @@
     return changes_.size();
   }
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   @java.lang.Override
@@ -168,6 +200,10 @@
     return changes_.get(index);
   }
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   @java.lang.Override
@@ -368,6 +404,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * An operator's request to change cells.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.PublicationRecord}
    */
   public static final class Builder extends
@@ -592,6 +632,10 @@
 
     private java.lang.Object id_ = "";
     /**
+     * <pre>
+     * Unique id chosen by the publisher. A second record with the same id has no effect.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @return The id.
      */
@@ -608,6 +652,10 @@
       }
     }
     /**
+     * <pre>
+     * Unique id chosen by the publisher. A second record with the same id has no effect.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @return The bytes for id.
      */
@@ -625,6 +673,10 @@
       }
     }
     /**
+     * <pre>
+     * Unique id chosen by the publisher. A second record with the same id has no effect.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @param value The id to set.
      * @return This builder for chaining.
@@ -638,6 +690,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Unique id chosen by the publisher. A second record with the same id has no effect.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @return This builder for chaining.
      */
@@ -648,6 +704,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Unique id chosen by the publisher. A second record with the same id has no effect.
+     * </pre>
+     *
      * <code>string id = 1;</code>
      * @param value The bytes for id to set.
      * @return This builder for chaining.
@@ -736,6 +796,10 @@
 
     private long editedFrom_ ;
     /**
+     * <pre>
+     * The table revision that the changes are based on.
+     * </pre>
+     *
      * <code>int64 edited_from = 3;</code>
      * @return The editedFrom.
      */
@@ -744,6 +808,10 @@
       return editedFrom_;
     }
     /**
+     * <pre>
+     * The table revision that the changes are based on.
+     * </pre>
+     *
      * <code>int64 edited_from = 3;</code>
      * @param value The editedFrom to set.
      * @return This builder for chaining.
@@ -756,6 +824,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The table revision that the changes are based on.
+     * </pre>
+     *
      * <code>int64 edited_from = 3;</code>
      * @return This builder for chaining.
      */
@@ -779,6 +851,10 @@
         org.fawndrum.protocol.wire.CellChangeRecord, org.fawndrum.protocol.wire.CellChangeRecord.Builder, org.fawndrum.protocol.wire.CellChangeRecordOrBuilder> changesBuilder_;
 
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.CellChangeRecord> getChangesList() {
@@ -789,6 +865,10 @@
       }
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public int getChangesCount() {
@@ -799,6 +879,10 @@
       }
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public org.fawndrum.protocol.wire.CellChangeRecord getChanges(int index) {
@@ -809,6 +893,10 @@
       }
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public Builder setChanges(
@@ -826,6 +914,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public Builder setChanges(
@@ -840,6 +932,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public Builder addChanges(org.fawndrum.protocol.wire.CellChangeRecord value) {
@@ -856,6 +952,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public Builder addChanges(
@@ -873,6 +973,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public Builder addChanges(
@@ -887,6 +991,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public Builder addChanges(
@@ -901,6 +1009,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public Builder addAllChanges(
@@ -916,6 +1028,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public Builder clearChanges() {
@@ -929,6 +1045,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public Builder removeChanges(int index) {
@@ -942,6 +1062,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public org.fawndrum.protocol.wire.CellChangeRecord.Builder getChangesBuilder(
@@ -949,6 +1073,10 @@
       return internalGetChangesFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public org.fawndrum.protocol.wire.CellChangeRecordOrBuilder getChangesOrBuilder(
@@ -959,6 +1087,10 @@
       }
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public java.util.List<? extends org.fawndrum.protocol.wire.CellChangeRecordOrBuilder> 
@@ -970,6 +1102,10 @@
       }
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public org.fawndrum.protocol.wire.CellChangeRecord.Builder addChangesBuilder() {
@@ -977,6 +1113,10 @@
           org.fawndrum.protocol.wire.CellChangeRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public org.fawndrum.protocol.wire.CellChangeRecord.Builder addChangesBuilder(
@@ -985,6 +1125,10 @@
           index, org.fawndrum.protocol.wire.CellChangeRecord.getDefaultInstance());
     }
     /**
+     * <pre>
+     * The changed cells only.
+     * </pre>
+     *
      * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.CellChangeRecord.Builder> 
