--- a/org.fawndrum/src/org/fawndrum/protocol/wire/PublicationRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/PublicationRecordOrBuilder.java
@@ -11,11 +11,19 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Unique id chosen by the publisher. A second record with the same id has no effect.
+   * </pre>
+   *
    * <code>string id = 1;</code>
    * @return The id.
    */
   java.lang.String getId();
   /**
+   * <pre>
+   * Unique id chosen by the publisher. A second record with the same id has no effect.
+   * </pre>
+   *
    * <code>string id = 1;</code>
    * @return The bytes for id.
    */
@@ -35,30 +43,54 @@
       getOperatorBytes();
 
   /**
+   * <pre>
+   * The table revision that the changes are based on.
+   * </pre>
+   *
    * <code>int64 edited_from = 3;</code>
    * @return The editedFrom.
    */
   long getEditedFrom();
 
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   java.util.List<org.fawndrum.protocol.wire.CellChangeRecord> 
       getChangesList();
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   org.fawndrum.protocol.wire.CellChangeRecord getChanges(int index);
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   int getChangesCount();
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   java.util.List<? extends org.fawndrum.protocol.wire.CellChangeRecordOrBuilder> 
       getChangesOrBuilderList();
   /**
+   * <pre>
+   * The changed cells only.
+   * </pre>
+   *
    * <code>repeated .fawndrum.CellChangeRecord changes = 4;</code>
    */
   org.fawndrum.protocol.wire.CellChangeRecordOrBuilder getChangesOrBuilder(
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/RefusedRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/RefusedRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A request that is turned away.
+ * A request that is rejected.
  * </pre>
  *
  * Protobuf type {@code fawndrum.RefusedRecord}
@@ -79,6 +79,10 @@
   public static final int AGE_MS_FIELD_NUMBER = 2;
   private long ageMs_ = 0L;
   /**
+   * <pre>
+   * Time since it was rejected, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 2;</code>
    * @return The ageMs.
    */
@@ -92,6 +96,10 @@
   private com.google.protobuf.LazyStringArrayList endpoints_ =
       com.google.protobuf.LazyStringArrayList.emptyList();
   /**
+   * <pre>
+   * The names of the endpoints that crashed under it before.
+   * </pre>
+   *
    * <code>repeated string endpoints = 3;</code>
    * @return A list containing the endpoints.
    */
@@ -100,6 +108,10 @@
     return endpoints_;
   }
   /**
+   * <pre>
+   * The names of the endpoints that crashed under it before.
+   * </pre>
+   *
    * <code>repeated string endpoints = 3;</code>
    * @return The count of endpoints.
    */
@@ -107,6 +119,10 @@
     return endpoints_.size();
   }
   /**
+   * <pre>
+   * The names of the endpoints that crashed under it before.
+   * </pre>
+   *
    * <code>repeated string endpoints = 3;</code>
    * @param index The index of the element to return.
    * @return The endpoints at the given index.
@@ -115,6 +131,10 @@
     return endpoints_.get(index);
   }
   /**
+   * <pre>
+   * The names of the endpoints that crashed under it before.
+   * </pre>
+   *
    * <code>repeated string endpoints = 3;</code>
    * @param index The index of the value to return.
    * @return The bytes of the endpoints at the given index.
@@ -317,7 +337,7 @@
   }
   /**
    * <pre>
-   * A request that is turned away.
+   * A request that is rejected.
    * </pre>
    *
    * Protobuf type {@code fawndrum.RefusedRecord}
@@ -629,6 +649,10 @@
 
     private long ageMs_ ;
     /**
+     * <pre>
+     * Time since it was rejected, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 2;</code>
      * @return The ageMs.
      */
@@ -637,6 +661,10 @@
       return ageMs_;
     }
     /**
+     * <pre>
+     * Time since it was rejected, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 2;</code>
      * @param value The ageMs to set.
      * @return This builder for chaining.
@@ -649,6 +677,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Time since it was rejected, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 2;</code>
      * @return This builder for chaining.
      */
@@ -668,6 +700,10 @@
       bitField0_ |= 0x00000004;
     }
     /**
+     * <pre>
+     * The names of the endpoints that crashed under it before.
+     * </pre>
+     *
      * <code>repeated string endpoints = 3;</code>
      * @return A list containing the endpoints.
      */
@@ -677,6 +713,10 @@
       return endpoints_;
     }
     /**
+     * <pre>
+     * The names of the endpoints that crashed under it before.
+     * </pre>
+     *
      * <code>repeated string endpoints = 3;</code>
      * @return The count of endpoints.
      */
@@ -684,6 +724,10 @@
       return endpoints_.size();
     }
     /**
+     * <pre>
+     * The names of the endpoints that crashed under it before.
+     * </pre>
+     *
      * <code>repeated string endpoints = 3;</code>
      * @param index The index of the element to return.
      * @return The endpoints at the given index.
@@ -692,6 +736,10 @@
       return endpoints_.get(index);
     }
     /**
+     * <pre>
+     * The names of the endpoints that crashed under it before.
+     * </pre>
+     *
      * <code>repeated string endpoints = 3;</code>
      * @param index The index of the value to return.
      * @return The bytes of the endpoints at the given index.
@@ -701,6 +749,10 @@
       return endpoints_.getByteString(index);
     }
     /**
+     * <pre>
+     * The names of the endpoints that crashed under it before.
+     * </pre>
+     *
      * <code>repeated string endpoints = 3;</code>
      * @param index The index to set the value at.
      * @param value The endpoints to set.
@@ -716,6 +768,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The names of the endpoints that crashed under it before.
+     * </pre>
+     *
      * <code>repeated string endpoints = 3;</code>
      * @param value The endpoints to add.
      * @return This builder for chaining.
@@ -730,6 +786,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The names of the endpoints that crashed under it before.
+     * </pre>
+     *
      * <code>repeated string endpoints = 3;</code>
      * @param values The endpoints to add.
      * @return This builder for chaining.
@@ -744,6 +804,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The names of the endpoints that crashed under it before.
+     * </pre>
+     *
      * <code>repeated string endpoints = 3;</code>
      * @return This builder for chaining.
      */
@@ -755,6 +819,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The names of the endpoints that crashed under it before.
+     * </pre>
+     *
      * <code>repeated string endpoints = 3;</code>
      * @param value The bytes of the endpoints to add.
      * @return This builder for chaining.
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/RefusedRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/RefusedRecordOrBuilder.java
@@ -26,29 +26,49 @@
   org.fawndrum.protocol.wire.FingerprintOrBuilder getRequestOrBuilder();
 
   /**
+   * <pre>
+   * Time since it was rejected, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 2;</code>
    * @return The ageMs.
    */
   long getAgeMs();
 
   /**
+   * <pre>
+   * The names of the endpoints that crashed under it before.
+   * </pre>
+   *
    * <code>repeated string endpoints = 3;</code>
    * @return A list containing the endpoints.
    */
   java.util.List<java.lang.String>
       getEndpointsList();
   /**
+   * <pre>
+   * The names of the endpoints that crashed under it before.
+   * </pre>
+   *
    * <code>repeated string endpoints = 3;</code>
    * @return The count of endpoints.
    */
   int getEndpointsCount();
   /**
+   * <pre>
+   * The names of the endpoints that crashed under it before.
+   * </pre>
+   *
    * <code>repeated string endpoints = 3;</code>
    * @param index The index of the element to return.
    * @return The endpoints at the given index.
    */
   java.lang.String getEndpoints(int index);
   /**
+   * <pre>
+   * The names of the endpoints that crashed under it before.
+   * </pre>
+   *
    * <code>repeated string endpoints = 3;</code>
    * @param index The index of the value to return.
    * @return The bytes of the endpoints at the given index.
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/RegistrationRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/RegistrationRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A daemon incarnation that may run calls which may not be repeated.
+ * A daemon incarnation that may run requests that must not be repeated.
  * </pre>
  *
  * Protobuf type {@code fawndrum.RegistrationRecord}
@@ -192,6 +192,10 @@
   public static final int RETIRED_FIELD_NUMBER = 6;
   private boolean retired_ = false;
   /**
+   * <pre>
+   * Whether it has shut down for good and handed its claims over.
+   * </pre>
+   *
    * <code>bool retired = 6;</code>
    * @return The retired.
    */
@@ -413,7 +417,7 @@
   }
   /**
    * <pre>
-   * A daemon incarnation that may run calls which may not be repeated.
+   * A daemon incarnation that may run requests that must not be repeated.
    * </pre>
    *
    * Protobuf type {@code fawndrum.RegistrationRecord}
@@ -899,6 +903,10 @@
 
     private boolean retired_ ;
     /**
+     * <pre>
+     * Whether it has shut down for good and handed its claims over.
+     * </pre>
+     *
      * <code>bool retired = 6;</code>
      * @return The retired.
      */
@@ -907,6 +915,10 @@
       return retired_;
     }
     /**
+     * <pre>
+     * Whether it has shut down for good and handed its claims over.
+     * </pre>
+     *
      * <code>bool retired = 6;</code>
      * @param value The retired to set.
      * @return This builder for chaining.
@@ -919,6 +931,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether it has shut down for good and handed its claims over.
+     * </pre>
+     *
      * <code>bool retired = 6;</code>
      * @return This builder for chaining.
      */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/RegistrationRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/RegistrationRecordOrBuilder.java
@@ -59,6 +59,10 @@
   int getPort();
 
   /**
+   * <pre>
+   * Whether it has shut down for good and handed its claims over.
+   * </pre>
+   *
    * <code>bool retired = 6;</code>
    * @return The retired.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/ServedRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/ServedRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A request that was suspected and got its whole answer.
+ * A suspected request that was answered completely.
  * </pre>
  *
  * Protobuf type {@code fawndrum.ServedRecord}
@@ -77,6 +77,10 @@
   public static final int AGE_MS_FIELD_NUMBER = 2;
   private long ageMs_ = 0L;
   /**
+   * <pre>
+   * Time since its answer was complete, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 2;</code>
    * @return The ageMs.
    */
@@ -261,7 +265,7 @@
   }
   /**
    * <pre>
-   * A request that was suspected and got its whole answer.
+   * A suspected request that was answered completely.
    * </pre>
    *
    * Protobuf type {@code fawndrum.ServedRecord}
@@ -551,6 +555,10 @@
 
     private long ageMs_ ;
     /**
+     * <pre>
+     * Time since its answer was complete, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 2;</code>
      * @return The ageMs.
      */
@@ -559,6 +567,10 @@
       return ageMs_;
     }
     /**
+     * <pre>
+     * Time since its answer was complete, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 2;</code>
      * @param value The ageMs to set.
      * @return This builder for chaining.
@@ -571,6 +583,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Time since its answer was complete, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 2;</code>
      * @return This builder for chaining.
      */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/ServedRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/ServedRecordOrBuilder.java
@@ -26,6 +26,10 @@
   org.fawndrum.protocol.wire.FingerprintOrBuilder getRequestOrBuilder();
 
   /**
+   * <pre>
+   * Time since its answer was complete, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 2;</code>
    * @return The ageMs.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/SnapshotRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/SnapshotRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The table after the record at `position`.
+ * The table after the record at `position` was applied.
  * </pre>
  *
  * Protobuf type {@code fawndrum.SnapshotRecord}
@@ -158,6 +158,10 @@
   public static final int DIGEST_FIELD_NUMBER = 5;
   private com.google.protobuf.ByteString digest_ = com.google.protobuf.ByteString.EMPTY;
   /**
+   * <pre>
+   * SHA-256 of this record without this field.
+   * </pre>
+   *
    * <code>bytes digest = 5;</code>
    * @return The digest.
    */
@@ -171,7 +175,8 @@
   private java.util.List<org.fawndrum.protocol.wire.RegistrationRecord> members_;
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -182,7 +187,8 @@
   }
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -194,7 +200,8 @@
   }
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -205,7 +212,8 @@
   }
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -216,7 +224,8 @@
   }
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -449,7 +458,7 @@
   }
   /**
    * <pre>
-   * The table after the record at `position`.
+   * The table after the record at `position` was applied.
    * </pre>
    *
    * Protobuf type {@code fawndrum.SnapshotRecord}
@@ -1326,6 +1335,10 @@
 
     private com.google.protobuf.ByteString digest_ = com.google.protobuf.ByteString.EMPTY;
     /**
+     * <pre>
+     * SHA-256 of this record without this field.
+     * </pre>
+     *
      * <code>bytes digest = 5;</code>
      * @return The digest.
      */
@@ -1334,6 +1347,10 @@
       return digest_;
     }
     /**
+     * <pre>
+     * SHA-256 of this record without this field.
+     * </pre>
+     *
      * <code>bytes digest = 5;</code>
      * @param value The digest to set.
      * @return This builder for chaining.
@@ -1346,6 +1363,10 @@
       return this;
     }
     /**
+     * <pre>
+     * SHA-256 of this record without this field.
+     * </pre>
+     *
      * <code>bytes digest = 5;</code>
      * @return This builder for chaining.
      */
@@ -1370,7 +1391,8 @@
 
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1384,7 +1406,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1398,7 +1421,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1412,7 +1436,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1433,7 +1458,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1451,7 +1477,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1471,7 +1498,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1492,7 +1520,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1510,7 +1539,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1528,7 +1558,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1547,7 +1578,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1564,7 +1596,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1581,7 +1614,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1592,7 +1626,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1606,7 +1641,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1621,7 +1657,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1632,7 +1669,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -1644,7 +1682,8 @@
     }
     /**
      * <pre>
-     * Everybody registered at `position` who may have run calls that may not be repeated.
+     * All daemon incarnations registered at `position` that may have run requests that must not be
+     * repeated.
      * </pre>
      *
      * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/SnapshotRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/SnapshotRecordOrBuilder.java
@@ -71,6 +71,10 @@
       int index);
 
   /**
+   * <pre>
+   * SHA-256 of this record without this field.
+   * </pre>
+   *
    * <code>bytes digest = 5;</code>
    * @return The digest.
    */
@@ -78,7 +82,8 @@
 
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -87,7 +92,8 @@
       getMembersList();
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -95,7 +101,8 @@
   org.fawndrum.protocol.wire.RegistrationRecord getMembers(int index);
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -103,7 +110,8 @@
   int getMembersCount();
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
@@ -112,7 +120,8 @@
       getMembersOrBuilderList();
   /**
    * <pre>
-   * Everybody registered at `position` who may have run calls that may not be repeated.
+   * All daemon incarnations registered at `position` that may have run requests that must not be
+   * repeated.
    * </pre>
    *
    * <code>repeated .fawndrum.RegistrationRecord members = 6;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/StoreRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/StoreRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A record of the store as it was read.
+ * A record of the store, as it was read.
  * </pre>
  *
  * Protobuf type {@code fawndrum.StoreRecord}
@@ -291,7 +291,7 @@
   }
   /**
    * <pre>
-   * A record of the store as it was read.
+   * A record of the store, as it was read.
    * </pre>
    *
    * Protobuf type {@code fawndrum.StoreRecord}
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/TurnRecord.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/TurnRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A host that sends a suspected request next.
+ * An execution lease: the host that sends a suspected request next.
  * </pre>
  *
  * Protobuf type {@code fawndrum.TurnRecord}
@@ -128,6 +128,10 @@
   public static final int AGE_MS_FIELD_NUMBER = 4;
   private long ageMs_ = 0L;
   /**
+   * <pre>
+   * Time since the lease began, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 4;</code>
    * @return The ageMs.
    */
@@ -140,7 +144,8 @@
   private int spent_ = 0;
   /**
    * <pre>
-   * In how many turns the host ran it in vain so far, where that is told.
+   * Number of leases under which the host has run the request inconclusively so far. Set only in
+   * `CrashReport.spent`; otherwise 0.
    * </pre>
    *
    * <code>int32 spent = 5;</code>
@@ -360,7 +365,7 @@
   }
   /**
    * <pre>
-   * A host that sends a suspected request next.
+   * An execution lease: the host that sends a suspected request next.
    * </pre>
    *
    * Protobuf type {@code fawndrum.TurnRecord}
@@ -792,6 +797,10 @@
 
     private long ageMs_ ;
     /**
+     * <pre>
+     * Time since the lease began, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 4;</code>
      * @return The ageMs.
      */
@@ -800,6 +809,10 @@
       return ageMs_;
     }
     /**
+     * <pre>
+     * Time since the lease began, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 4;</code>
      * @param value The ageMs to set.
      * @return This builder for chaining.
@@ -812,6 +825,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Time since the lease began, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 4;</code>
      * @return This builder for chaining.
      */
@@ -825,7 +842,8 @@
     private int spent_ ;
     /**
      * <pre>
-     * In how many turns the host ran it in vain so far, where that is told.
+     * Number of leases under which the host has run the request inconclusively so far. Set only in
+     * `CrashReport.spent`; otherwise 0.
      * </pre>
      *
      * <code>int32 spent = 5;</code>
@@ -837,7 +855,8 @@
     }
     /**
      * <pre>
-     * In how many turns the host ran it in vain so far, where that is told.
+     * Number of leases under which the host has run the request inconclusively so far. Set only in
+     * `CrashReport.spent`; otherwise 0.
      * </pre>
      *
      * <code>int32 spent = 5;</code>
@@ -853,7 +872,8 @@
     }
     /**
      * <pre>
-     * In how many turns the host ran it in vain so far, where that is told.
+     * Number of leases under which the host has run the request inconclusively so far. Set only in
+     * `CrashReport.spent`; otherwise 0.
      * </pre>
      *
      * <code>int32 spent = 5;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/TurnRecordOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/TurnRecordOrBuilder.java
@@ -44,6 +44,10 @@
   long getHostIncarnation();
 
   /**
+   * <pre>
+   * Time since the lease began, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 4;</code>
    * @return The ageMs.
    */
@@ -51,7 +55,8 @@
 
   /**
    * <pre>
-   * In how many turns the host ran it in vain so far, where that is told.
+   * Number of leases under which the host has run the request inconclusively so far. Set only in
+   * `CrashReport.spent`; otherwise 0.
    * </pre>
    *
    * <code>int32 spent = 5;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/WorkPlaced.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/WorkPlaced.java
@@ -6,6 +6,10 @@
 package org.fawndrum.protocol.wire;
 
 /**
+ * <pre>
+ * A job that was sent to an endpoint.
+ * </pre>
+ *
  * Protobuf type {@code fawndrum.WorkPlaced}
  */
 @com.google.protobuf.Generated
@@ -47,6 +51,10 @@
   public static final int ID_FIELD_NUMBER = 1;
   private long id_ = 0L;
   /**
+   * <pre>
+   * Unique over all daemons.
+   * </pre>
+   *
    * <code>sfixed64 id = 1;</code>
    * @return The id.
    */
@@ -108,6 +116,10 @@
   public static final int PROMPT_TOKENS_FIELD_NUMBER = 4;
   private long promptTokens_ = 0L;
   /**
+   * <pre>
+   * The length of the whole prompt, in tokens.
+   * </pre>
+   *
    * <code>int64 prompt_tokens = 4;</code>
    * @return The promptTokens.
    */
@@ -119,6 +131,10 @@
   public static final int MEMORY_TOKENS_FIELD_NUMBER = 5;
   private long memoryTokens_ = 0L;
   /**
+   * <pre>
+   * The maximum cache memory that the job uses at the endpoint, in tokens.
+   * </pre>
+   *
    * <code>int64 memory_tokens = 5;</code>
    * @return The memoryTokens.
    */
@@ -130,6 +146,10 @@
   public static final int PARTS_FIELD_NUMBER = 6;
   private int parts_ = 0;
   /**
+   * <pre>
+   * The number of engines that share the prefill of the prompt. 0 counts as 1.
+   * </pre>
+   *
    * <code>int32 parts = 6;</code>
    * @return The parts.
    */
@@ -141,6 +161,11 @@
   public static final int WRITES_FIELD_NUMBER = 7;
   private boolean writes_ = false;
   /**
+   * <pre>
+   * Whether the endpoint decodes the answer. False at an engine that only prefills a prompt
+   * segment.
+   * </pre>
+   *
    * <code>bool writes = 7;</code>
    * @return The writes.
    */
@@ -152,6 +177,11 @@
   public static final int FIRST_TOKEN_AIM_MS_FIELD_NUMBER = 8;
   private long firstTokenAimMs_ = 0L;
   /**
+   * <pre>
+   * Target for the time to the first token, in milliseconds, less the time elapsed before the job
+   * was sent. 0 if not set.
+   * </pre>
+   *
    * <code>int64 first_token_aim_ms = 8;</code>
    * @return The firstTokenAimMs.
    */
@@ -163,6 +193,10 @@
   public static final int PAUSE_AIM_MS_FIELD_NUMBER = 9;
   private long pauseAimMs_ = 0L;
   /**
+   * <pre>
+   * Target for the longest pause between two events of a stream, in milliseconds. 0 if not set.
+   * </pre>
+   *
    * <code>int64 pause_aim_ms = 9;</code>
    * @return The pauseAimMs.
    */
@@ -174,6 +208,10 @@
   public static final int AGE_MS_FIELD_NUMBER = 10;
   private long ageMs_ = 0L;
   /**
+   * <pre>
+   * Time since the job was sent, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 10;</code>
    * @return The ageMs.
    */
@@ -446,6 +484,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * A job that was sent to an endpoint.
+   * </pre>
+   *
    * Protobuf type {@code fawndrum.WorkPlaced}
    */
   public static final class Builder extends
@@ -693,6 +735,10 @@
 
     private long id_ ;
     /**
+     * <pre>
+     * Unique over all daemons.
+     * </pre>
+     *
      * <code>sfixed64 id = 1;</code>
      * @return The id.
      */
@@ -701,6 +747,10 @@
       return id_;
     }
     /**
+     * <pre>
+     * Unique over all daemons.
+     * </pre>
+     *
      * <code>sfixed64 id = 1;</code>
      * @param value The id to set.
      * @return This builder for chaining.
@@ -713,6 +763,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Unique over all daemons.
+     * </pre>
+     *
      * <code>sfixed64 id = 1;</code>
      * @return This builder for chaining.
      */
@@ -829,6 +883,10 @@
 
     private long promptTokens_ ;
     /**
+     * <pre>
+     * The length of the whole prompt, in tokens.
+     * </pre>
+     *
      * <code>int64 prompt_tokens = 4;</code>
      * @return The promptTokens.
      */
@@ -837,6 +895,10 @@
       return promptTokens_;
     }
     /**
+     * <pre>
+     * The length of the whole prompt, in tokens.
+     * </pre>
+     *
      * <code>int64 prompt_tokens = 4;</code>
      * @param value The promptTokens to set.
      * @return This builder for chaining.
@@ -849,6 +911,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The length of the whole prompt, in tokens.
+     * </pre>
+     *
      * <code>int64 prompt_tokens = 4;</code>
      * @return This builder for chaining.
      */
@@ -861,6 +927,10 @@
 
     private long memoryTokens_ ;
     /**
+     * <pre>
+     * The maximum cache memory that the job uses at the endpoint, in tokens.
+     * </pre>
+     *
      * <code>int64 memory_tokens = 5;</code>
      * @return The memoryTokens.
      */
@@ -869,6 +939,10 @@
       return memoryTokens_;
     }
     /**
+     * <pre>
+     * The maximum cache memory that the job uses at the endpoint, in tokens.
+     * </pre>
+     *
      * <code>int64 memory_tokens = 5;</code>
      * @param value The memoryTokens to set.
      * @return This builder for chaining.
@@ -881,6 +955,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The maximum cache memory that the job uses at the endpoint, in tokens.
+     * </pre>
+     *
      * <code>int64 memory_tokens = 5;</code>
      * @return This builder for chaining.
      */
@@ -893,6 +971,10 @@
 
     private int parts_ ;
     /**
+     * <pre>
+     * The number of engines that share the prefill of the prompt. 0 counts as 1.
+     * </pre>
+     *
      * <code>int32 parts = 6;</code>
      * @return The parts.
      */
@@ -901,6 +983,10 @@
       return parts_;
     }
     /**
+     * <pre>
+     * The number of engines that share the prefill of the prompt. 0 counts as 1.
+     * </pre>
+     *
      * <code>int32 parts = 6;</code>
      * @param value The parts to set.
      * @return This builder for chaining.
@@ -913,6 +999,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The number of engines that share the prefill of the prompt. 0 counts as 1.
+     * </pre>
+     *
      * <code>int32 parts = 6;</code>
      * @return This builder for chaining.
      */
@@ -925,6 +1015,11 @@
 
     private boolean writes_ ;
     /**
+     * <pre>
+     * Whether the endpoint decodes the answer. False at an engine that only prefills a prompt
+     * segment.
+     * </pre>
+     *
      * <code>bool writes = 7;</code>
      * @return The writes.
      */
@@ -933,6 +1028,11 @@
       return writes_;
     }
     /**
+     * <pre>
+     * Whether the endpoint decodes the answer. False at an engine that only prefills a prompt
+     * segment.
+     * </pre>
+     *
      * <code>bool writes = 7;</code>
      * @param value The writes to set.
      * @return This builder for chaining.
@@ -945,6 +1045,11 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the endpoint decodes the answer. False at an engine that only prefills a prompt
+     * segment.
+     * </pre>
+     *
      * <code>bool writes = 7;</code>
      * @return This builder for chaining.
      */
@@ -957,6 +1062,11 @@
 
     private long firstTokenAimMs_ ;
     /**
+     * <pre>
+     * Target for the time to the first token, in milliseconds, less the time elapsed before the job
+     * was sent. 0 if not set.
+     * </pre>
+     *
      * <code>int64 first_token_aim_ms = 8;</code>
      * @return The firstTokenAimMs.
      */
@@ -965,6 +1075,11 @@
       return firstTokenAimMs_;
     }
     /**
+     * <pre>
+     * Target for the time to the first token, in milliseconds, less the time elapsed before the job
+     * was sent. 0 if not set.
+     * </pre>
+     *
      * <code>int64 first_token_aim_ms = 8;</code>
      * @param value The firstTokenAimMs to set.
      * @return This builder for chaining.
@@ -977,6 +1092,11 @@
       return this;
     }
     /**
+     * <pre>
+     * Target for the time to the first token, in milliseconds, less the time elapsed before the job
+     * was sent. 0 if not set.
+     * </pre>
+     *
      * <code>int64 first_token_aim_ms = 8;</code>
      * @return This builder for chaining.
      */
@@ -989,6 +1109,10 @@
 
     private long pauseAimMs_ ;
     /**
+     * <pre>
+     * Target for the longest pause between two events of a stream, in milliseconds. 0 if not set.
+     * </pre>
+     *
      * <code>int64 pause_aim_ms = 9;</code>
      * @return The pauseAimMs.
      */
@@ -997,6 +1121,10 @@
       return pauseAimMs_;
     }
     /**
+     * <pre>
+     * Target for the longest pause between two events of a stream, in milliseconds. 0 if not set.
+     * </pre>
+     *
      * <code>int64 pause_aim_ms = 9;</code>
      * @param value The pauseAimMs to set.
      * @return This builder for chaining.
@@ -1009,6 +1137,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Target for the longest pause between two events of a stream, in milliseconds. 0 if not set.
+     * </pre>
+     *
      * <code>int64 pause_aim_ms = 9;</code>
      * @return This builder for chaining.
      */
@@ -1021,6 +1153,10 @@
 
     private long ageMs_ ;
     /**
+     * <pre>
+     * Time since the job was sent, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 10;</code>
      * @return The ageMs.
      */
@@ -1029,6 +1165,10 @@
       return ageMs_;
     }
     /**
+     * <pre>
+     * Time since the job was sent, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 10;</code>
      * @param value The ageMs to set.
      * @return This builder for chaining.
@@ -1041,6 +1181,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Time since the job was sent, in milliseconds.
+     * </pre>
+     *
      * <code>int64 age_ms = 10;</code>
      * @return This builder for chaining.
      */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/WorkPlacedOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/WorkPlacedOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Unique over all daemons.
+   * </pre>
+   *
    * <code>sfixed64 id = 1;</code>
    * @return The id.
    */
@@ -35,42 +39,72 @@
   long getEndpointIncarnation();
 
   /**
+   * <pre>
+   * The length of the whole prompt, in tokens.
+   * </pre>
+   *
    * <code>int64 prompt_tokens = 4;</code>
    * @return The promptTokens.
    */
   long getPromptTokens();
 
   /**
+   * <pre>
+   * The maximum cache memory that the job uses at the endpoint, in tokens.
+   * </pre>
+   *
    * <code>int64 memory_tokens = 5;</code>
    * @return The memoryTokens.
    */
   long getMemoryTokens();
 
   /**
+   * <pre>
+   * The number of engines that share the prefill of the prompt. 0 counts as 1.
+   * </pre>
+   *
    * <code>int32 parts = 6;</code>
    * @return The parts.
    */
   int getParts();
 
   /**
+   * <pre>
+   * Whether the endpoint decodes the answer. False at an engine that only prefills a prompt
+   * segment.
+   * </pre>
+   *
    * <code>bool writes = 7;</code>
    * @return The writes.
    */
   boolean getWrites();
 
   /**
+   * <pre>
+   * Target for the time to the first token, in milliseconds, less the time elapsed before the job
+   * was sent. 0 if not set.
+   * </pre>
+   *
    * <code>int64 first_token_aim_ms = 8;</code>
    * @return The firstTokenAimMs.
    */
   long getFirstTokenAimMs();
 
   /**
+   * <pre>
+   * Target for the longest pause between two events of a stream, in milliseconds. 0 if not set.
+   * </pre>
+   *
    * <code>int64 pause_aim_ms = 9;</code>
    * @return The pauseAimMs.
    */
   long getPauseAimMs();
 
   /**
+   * <pre>
+   * Time since the job was sent, in milliseconds.
+   * </pre>
+   *
    * <code>int64 age_ms = 10;</code>
    * @return The ageMs.
    */
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/WorkReport.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/WorkReport.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What one daemon tells all others about its work at endpoints.
+ * A report of one daemon to all others about its jobs at endpoints.
  * </pre>
  *
  * Protobuf type {@code fawndrum.WorkReport}
@@ -57,7 +57,7 @@
   private org.fawndrum.protocol.wire.DaemonPlace daemon_;
   /**
    * <pre>
-   * With `whole`, all fields; else only what identifies the daemon.
+   * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
    * </pre>
    *
    * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -69,7 +69,7 @@
   }
   /**
    * <pre>
-   * With `whole`, all fields; else only what identifies the daemon.
+   * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
    * </pre>
    *
    * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -81,7 +81,7 @@
   }
   /**
    * <pre>
-   * With `whole`, all fields; else only what identifies the daemon.
+   * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
    * </pre>
    *
    * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -95,7 +95,7 @@
   private long sequence_ = 0L;
   /**
    * <pre>
-   * Grows with each report of the daemon.
+   * Increases with each report of the incarnation.
    * </pre>
    *
    * <code>int64 sequence = 2;</code>
@@ -110,7 +110,7 @@
   private boolean whole_ = false;
   /**
    * <pre>
-   * Whether `placed` and `read` name all of the daemon's work.
+   * Whether `placed` and `read` list all jobs of the daemon.
    * </pre>
    *
    * <code>bool whole = 3;</code>
@@ -125,6 +125,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.fawndrum.protocol.wire.WorkPlaced> placed_;
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   @java.lang.Override
@@ -132,6 +136,10 @@
     return placed_;
   }
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   @java.lang.Override
@@ -140,6 +148,10 @@
     return placed_;
   }
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   @java.lang.Override
@@ -147,6 +159,10 @@
     return placed_.size();
   }
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   @java.lang.Override
@@ -154,6 +170,10 @@
     return placed_.get(index);
   }
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   @java.lang.Override
@@ -167,6 +187,10 @@
   private com.google.protobuf.Internal.LongList read_ =
       emptyLongList();
   /**
+   * <pre>
+   * Ids of jobs whose prefill completed.
+   * </pre>
+   *
    * <code>repeated sfixed64 read = 5;</code>
    * @return A list containing the read.
    */
@@ -176,6 +200,10 @@
     return read_;
   }
   /**
+   * <pre>
+   * Ids of jobs whose prefill completed.
+   * </pre>
+   *
    * <code>repeated sfixed64 read = 5;</code>
    * @return The count of read.
    */
@@ -183,6 +211,10 @@
     return read_.size();
   }
   /**
+   * <pre>
+   * Ids of jobs whose prefill completed.
+   * </pre>
+   *
    * <code>repeated sfixed64 read = 5;</code>
    * @param index The index of the element to return.
    * @return The read at the given index.
@@ -197,6 +229,10 @@
   private com.google.protobuf.Internal.LongList ended_ =
       emptyLongList();
   /**
+   * <pre>
+   * Ids of jobs that ended, except those in `failed`.
+   * </pre>
+   *
    * <code>repeated sfixed64 ended = 6;</code>
    * @return A list containing the ended.
    */
@@ -206,6 +242,10 @@
     return ended_;
   }
   /**
+   * <pre>
+   * Ids of jobs that ended, except those in `failed`.
+   * </pre>
+   *
    * <code>repeated sfixed64 ended = 6;</code>
    * @return The count of ended.
    */
@@ -213,6 +253,10 @@
     return ended_.size();
   }
   /**
+   * <pre>
+   * Ids of jobs that ended, except those in `failed`.
+   * </pre>
+   *
    * <code>repeated sfixed64 ended = 6;</code>
    * @param index The index of the element to return.
    * @return The ended at the given index.
@@ -228,7 +272,7 @@
       emptyLongList();
   /**
    * <pre>
-   * Ended work whose endpoint seems to be the cause.
+   * Ids of jobs that ended and whose endpoint seems to be the cause.
    * </pre>
    *
    * <code>repeated sfixed64 failed = 7;</code>
@@ -241,7 +285,7 @@
   }
   /**
    * <pre>
-   * Ended work whose endpoint seems to be the cause.
+   * Ids of jobs that ended and whose endpoint seems to be the cause.
    * </pre>
    *
    * <code>repeated sfixed64 failed = 7;</code>
@@ -252,7 +296,7 @@
   }
   /**
    * <pre>
-   * Ended work whose endpoint seems to be the cause.
+   * Ids of jobs that ended and whose endpoint seems to be the cause.
    * </pre>
    *
    * <code>repeated sfixed64 failed = 7;</code>
@@ -269,7 +313,7 @@
   private volatile java.lang.Object aboutZone_ = "";
   /**
    * <pre>
-   * The zone of the endpoints that the report is about; empty when they may be anywhere.
+   * The zone of the endpoints that the report is about. Empty if they may be in any zone.
    * </pre>
    *
    * <code>string about_zone = 8;</code>
@@ -290,7 +334,7 @@
   }
   /**
    * <pre>
-   * The zone of the endpoints that the report is about; empty when they may be anywhere.
+   * The zone of the endpoints that the report is about. Empty if they may be in any zone.
    * </pre>
    *
    * <code>string about_zone = 8;</code>
@@ -595,7 +639,7 @@
   }
   /**
    * <pre>
-   * What one daemon tells all others about its work at endpoints.
+   * A report of one daemon to all others about its jobs at endpoints.
    * </pre>
    *
    * Protobuf type {@code fawndrum.WorkReport}
@@ -952,7 +996,7 @@
         org.fawndrum.protocol.wire.DaemonPlace, org.fawndrum.protocol.wire.DaemonPlace.Builder, org.fawndrum.protocol.wire.DaemonPlaceOrBuilder> daemonBuilder_;
     /**
      * <pre>
-     * With `whole`, all fields; else only what identifies the daemon.
+     * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
      * </pre>
      *
      * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -963,7 +1007,7 @@
     }
     /**
      * <pre>
-     * With `whole`, all fields; else only what identifies the daemon.
+     * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
      * </pre>
      *
      * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -978,7 +1022,7 @@
     }
     /**
      * <pre>
-     * With `whole`, all fields; else only what identifies the daemon.
+     * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
      * </pre>
      *
      * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -998,7 +1042,7 @@
     }
     /**
      * <pre>
-     * With `whole`, all fields; else only what identifies the daemon.
+     * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
      * </pre>
      *
      * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -1016,7 +1060,7 @@
     }
     /**
      * <pre>
-     * With `whole`, all fields; else only what identifies the daemon.
+     * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
      * </pre>
      *
      * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -1041,7 +1085,7 @@
     }
     /**
      * <pre>
-     * With `whole`, all fields; else only what identifies the daemon.
+     * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
      * </pre>
      *
      * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -1058,7 +1102,7 @@
     }
     /**
      * <pre>
-     * With `whole`, all fields; else only what identifies the daemon.
+     * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
      * </pre>
      *
      * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -1070,7 +1114,7 @@
     }
     /**
      * <pre>
-     * With `whole`, all fields; else only what identifies the daemon.
+     * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
      * </pre>
      *
      * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -1085,7 +1129,7 @@
     }
     /**
      * <pre>
-     * With `whole`, all fields; else only what identifies the daemon.
+     * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
      * </pre>
      *
      * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -1107,7 +1151,7 @@
     private long sequence_ ;
     /**
      * <pre>
-     * Grows with each report of the daemon.
+     * Increases with each report of the incarnation.
      * </pre>
      *
      * <code>int64 sequence = 2;</code>
@@ -1119,7 +1163,7 @@
     }
     /**
      * <pre>
-     * Grows with each report of the daemon.
+     * Increases with each report of the incarnation.
      * </pre>
      *
      * <code>int64 sequence = 2;</code>
@@ -1135,7 +1179,7 @@
     }
     /**
      * <pre>
-     * Grows with each report of the daemon.
+     * Increases with each report of the incarnation.
      * </pre>
      *
      * <code>int64 sequence = 2;</code>
@@ -1151,7 +1195,7 @@
     private boolean whole_ ;
     /**
      * <pre>
-     * Whether `placed` and `read` name all of the daemon's work.
+     * Whether `placed` and `read` list all jobs of the daemon.
      * </pre>
      *
      * <code>bool whole = 3;</code>
@@ -1163,7 +1207,7 @@
     }
     /**
      * <pre>
-     * Whether `placed` and `read` name all of the daemon's work.
+     * Whether `placed` and `read` list all jobs of the daemon.
      * </pre>
      *
      * <code>bool whole = 3;</code>
@@ -1179,7 +1223,7 @@
     }
     /**
      * <pre>
-     * Whether `placed` and `read` name all of the daemon's work.
+     * Whether `placed` and `read` list all jobs of the daemon.
      * </pre>
      *
      * <code>bool whole = 3;</code>
@@ -1205,6 +1249,10 @@
         org.fawndrum.protocol.wire.WorkPlaced, org.fawndrum.protocol.wire.WorkPlaced.Builder, org.fawndrum.protocol.wire.WorkPlacedOrBuilder> placedBuilder_;
 
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.WorkPlaced> getPlacedList() {
@@ -1215,6 +1263,10 @@
       }
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public int getPlacedCount() {
@@ -1225,6 +1277,10 @@
       }
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public org.fawndrum.protocol.wire.WorkPlaced getPlaced(int index) {
@@ -1235,6 +1291,10 @@
       }
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public Builder setPlaced(
@@ -1252,6 +1312,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public Builder setPlaced(
@@ -1266,6 +1330,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public Builder addPlaced(org.fawndrum.protocol.wire.WorkPlaced value) {
@@ -1282,6 +1350,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public Builder addPlaced(
@@ -1299,6 +1371,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public Builder addPlaced(
@@ -1313,6 +1389,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public Builder addPlaced(
@@ -1327,6 +1407,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public Builder addAllPlaced(
@@ -1342,6 +1426,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public Builder clearPlaced() {
@@ -1355,6 +1443,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public Builder removePlaced(int index) {
@@ -1368,6 +1460,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public org.fawndrum.protocol.wire.WorkPlaced.Builder getPlacedBuilder(
@@ -1375,6 +1471,10 @@
       return internalGetPlacedFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public org.fawndrum.protocol.wire.WorkPlacedOrBuilder getPlacedOrBuilder(
@@ -1385,6 +1485,10 @@
       }
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public java.util.List<? extends org.fawndrum.protocol.wire.WorkPlacedOrBuilder> 
@@ -1396,6 +1500,10 @@
       }
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public org.fawndrum.protocol.wire.WorkPlaced.Builder addPlacedBuilder() {
@@ -1403,6 +1511,10 @@
           org.fawndrum.protocol.wire.WorkPlaced.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public org.fawndrum.protocol.wire.WorkPlaced.Builder addPlacedBuilder(
@@ -1411,6 +1523,10 @@
           index, org.fawndrum.protocol.wire.WorkPlaced.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Jobs that were sent.
+     * </pre>
+     *
      * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
      */
     public java.util.List<org.fawndrum.protocol.wire.WorkPlaced.Builder> 
@@ -1446,6 +1562,10 @@
       bitField0_ |= 0x00000010;
     }
     /**
+     * <pre>
+     * Ids of jobs whose prefill completed.
+     * </pre>
+     *
      * <code>repeated sfixed64 read = 5;</code>
      * @return A list containing the read.
      */
@@ -1455,6 +1575,10 @@
       return read_;
     }
     /**
+     * <pre>
+     * Ids of jobs whose prefill completed.
+     * </pre>
+     *
      * <code>repeated sfixed64 read = 5;</code>
      * @return The count of read.
      */
@@ -1462,6 +1586,10 @@
       return read_.size();
     }
     /**
+     * <pre>
+     * Ids of jobs whose prefill completed.
+     * </pre>
+     *
      * <code>repeated sfixed64 read = 5;</code>
      * @param index The index of the element to return.
      * @return The read at the given index.
@@ -1470,6 +1598,10 @@
       return read_.getLong(index);
     }
     /**
+     * <pre>
+     * Ids of jobs whose prefill completed.
+     * </pre>
+     *
      * <code>repeated sfixed64 read = 5;</code>
      * @param index The index to set the value at.
      * @param value The read to set.
@@ -1485,6 +1617,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of jobs whose prefill completed.
+     * </pre>
+     *
      * <code>repeated sfixed64 read = 5;</code>
      * @param value The read to add.
      * @return This builder for chaining.
@@ -1498,6 +1634,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of jobs whose prefill completed.
+     * </pre>
+     *
      * <code>repeated sfixed64 read = 5;</code>
      * @param values The read to add.
      * @return This builder for chaining.
@@ -1512,6 +1652,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of jobs whose prefill completed.
+     * </pre>
+     *
      * <code>repeated sfixed64 read = 5;</code>
      * @return This builder for chaining.
      */
@@ -1536,6 +1680,10 @@
       bitField0_ |= 0x00000020;
     }
     /**
+     * <pre>
+     * Ids of jobs that ended, except those in `failed`.
+     * </pre>
+     *
      * <code>repeated sfixed64 ended = 6;</code>
      * @return A list containing the ended.
      */
@@ -1545,6 +1693,10 @@
       return ended_;
     }
     /**
+     * <pre>
+     * Ids of jobs that ended, except those in `failed`.
+     * </pre>
+     *
      * <code>repeated sfixed64 ended = 6;</code>
      * @return The count of ended.
      */
@@ -1552,6 +1704,10 @@
       return ended_.size();
     }
     /**
+     * <pre>
+     * Ids of jobs that ended, except those in `failed`.
+     * </pre>
+     *
      * <code>repeated sfixed64 ended = 6;</code>
      * @param index The index of the element to return.
      * @return The ended at the given index.
@@ -1560,6 +1716,10 @@
       return ended_.getLong(index);
     }
     /**
+     * <pre>
+     * Ids of jobs that ended, except those in `failed`.
+     * </pre>
+     *
      * <code>repeated sfixed64 ended = 6;</code>
      * @param index The index to set the value at.
      * @param value The ended to set.
@@ -1575,6 +1735,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of jobs that ended, except those in `failed`.
+     * </pre>
+     *
      * <code>repeated sfixed64 ended = 6;</code>
      * @param value The ended to add.
      * @return This builder for chaining.
@@ -1588,6 +1752,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of jobs that ended, except those in `failed`.
+     * </pre>
+     *
      * <code>repeated sfixed64 ended = 6;</code>
      * @param values The ended to add.
      * @return This builder for chaining.
@@ -1602,6 +1770,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of jobs that ended, except those in `failed`.
+     * </pre>
+     *
      * <code>repeated sfixed64 ended = 6;</code>
      * @return This builder for chaining.
      */
@@ -1627,7 +1799,7 @@
     }
     /**
      * <pre>
-     * Ended work whose endpoint seems to be the cause.
+     * Ids of jobs that ended and whose endpoint seems to be the cause.
      * </pre>
      *
      * <code>repeated sfixed64 failed = 7;</code>
@@ -1640,7 +1812,7 @@
     }
     /**
      * <pre>
-     * Ended work whose endpoint seems to be the cause.
+     * Ids of jobs that ended and whose endpoint seems to be the cause.
      * </pre>
      *
      * <code>repeated sfixed64 failed = 7;</code>
@@ -1651,7 +1823,7 @@
     }
     /**
      * <pre>
-     * Ended work whose endpoint seems to be the cause.
+     * Ids of jobs that ended and whose endpoint seems to be the cause.
      * </pre>
      *
      * <code>repeated sfixed64 failed = 7;</code>
@@ -1663,7 +1835,7 @@
     }
     /**
      * <pre>
-     * Ended work whose endpoint seems to be the cause.
+     * Ids of jobs that ended and whose endpoint seems to be the cause.
      * </pre>
      *
      * <code>repeated sfixed64 failed = 7;</code>
@@ -1682,7 +1854,7 @@
     }
     /**
      * <pre>
-     * Ended work whose endpoint seems to be the cause.
+     * Ids of jobs that ended and whose endpoint seems to be the cause.
      * </pre>
      *
      * <code>repeated sfixed64 failed = 7;</code>
@@ -1699,7 +1871,7 @@
     }
     /**
      * <pre>
-     * Ended work whose endpoint seems to be the cause.
+     * Ids of jobs that ended and whose endpoint seems to be the cause.
      * </pre>
      *
      * <code>repeated sfixed64 failed = 7;</code>
@@ -1717,7 +1889,7 @@
     }
     /**
      * <pre>
-     * Ended work whose endpoint seems to be the cause.
+     * Ids of jobs that ended and whose endpoint seems to be the cause.
      * </pre>
      *
      * <code>repeated sfixed64 failed = 7;</code>
@@ -1733,7 +1905,7 @@
     private java.lang.Object aboutZone_ = "";
     /**
      * <pre>
-     * The zone of the endpoints that the report is about; empty when they may be anywhere.
+     * The zone of the endpoints that the report is about. Empty if they may be in any zone.
      * </pre>
      *
      * <code>string about_zone = 8;</code>
@@ -1753,7 +1925,7 @@
     }
     /**
      * <pre>
-     * The zone of the endpoints that the report is about; empty when they may be anywhere.
+     * The zone of the endpoints that the report is about. Empty if they may be in any zone.
      * </pre>
      *
      * <code>string about_zone = 8;</code>
@@ -1774,7 +1946,7 @@
     }
     /**
      * <pre>
-     * The zone of the endpoints that the report is about; empty when they may be anywhere.
+     * The zone of the endpoints that the report is about. Empty if they may be in any zone.
      * </pre>
      *
      * <code>string about_zone = 8;</code>
@@ -1791,7 +1963,7 @@
     }
     /**
      * <pre>
-     * The zone of the endpoints that the report is about; empty when they may be anywhere.
+     * The zone of the endpoints that the report is about. Empty if they may be in any zone.
      * </pre>
      *
      * <code>string about_zone = 8;</code>
@@ -1805,7 +1977,7 @@
     }
     /**
      * <pre>
-     * The zone of the endpoints that the report is about; empty when they may be anywhere.
+     * The zone of the endpoints that the report is about. Empty if they may be in any zone.
      * </pre>
      *
      * <code>string about_zone = 8;</code>
--- a/org.fawndrum/src/org/fawndrum/protocol/wire/WorkReportOrBuilder.java
+++ b/org.fawndrum/src/org/fawndrum/protocol/wire/WorkReportOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * With `whole`, all fields; else only what identifies the daemon.
+   * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
    * </pre>
    *
    * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -21,7 +21,7 @@
   boolean hasDaemon();
   /**
    * <pre>
-   * With `whole`, all fields; else only what identifies the daemon.
+   * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
    * </pre>
    *
    * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -30,7 +30,7 @@
   org.fawndrum.protocol.wire.DaemonPlace getDaemon();
   /**
    * <pre>
-   * With `whole`, all fields; else only what identifies the daemon.
+   * The daemon that the report is about. Without `whole`, only its host and incarnation are set.
    * </pre>
    *
    * <code>.fawndrum.DaemonPlace daemon = 1;</code>
@@ -39,7 +39,7 @@
 
   /**
    * <pre>
-   * Grows with each report of the daemon.
+   * Increases with each report of the incarnation.
    * </pre>
    *
    * <code>int64 sequence = 2;</code>
@@ -49,7 +49,7 @@
 
   /**
    * <pre>
-   * Whether `placed` and `read` name all of the daemon's work.
+   * Whether `placed` and `read` list all jobs of the daemon.
    * </pre>
    *
    * <code>bool whole = 3;</code>
@@ -58,40 +58,72 @@
   boolean getWhole();
 
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   java.util.List<org.fawndrum.protocol.wire.WorkPlaced> 
       getPlacedList();
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   org.fawndrum.protocol.wire.WorkPlaced getPlaced(int index);
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   int getPlacedCount();
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   java.util.List<? extends org.fawndrum.protocol.wire.WorkPlacedOrBuilder> 
       getPlacedOrBuilderList();
   /**
+   * <pre>
+   * Jobs that were sent.
+   * </pre>
+   *
    * <code>repeated .fawndrum.WorkPlaced placed = 4;</code>
    */
   org.fawndrum.protocol.wire.WorkPlacedOrBuilder getPlacedOrBuilder(
       int index);
 
   /**
+   * <pre>
+   * Ids of jobs whose prefill completed.
+   * </pre>
+   *
    * <code>repeated sfixed64 read = 5;</code>
    * @return A list containing the read.
    */
   java.util.List<java.lang.Long> getReadList();
   /**
+   * <pre>
+   * Ids of jobs whose prefill completed.
+   * </pre>
+   *
    * <code>repeated sfixed64 read = 5;</code>
    * @return The count of read.
    */
   int getReadCount();
   /**
+   * <pre>
+   * Ids of jobs whose prefill completed.
+   * </pre>
+   *
    * <code>repeated sfixed64 read = 5;</code>
    * @param index The index of the element to return.
    * @return The read at the given index.
@@ -99,16 +131,28 @@
   long getRead(int index);
 
   /**
+   * <pre>
+   * Ids of jobs that ended, except those in `failed`.
+   * </pre>
+   *
    * <code>repeated sfixed64 ended = 6;</code>
    * @return A list containing the ended.
    */
   java.util.List<java.lang.Long> getEndedList();
   /**
+   * <pre>
+   * Ids of jobs that ended, except those in `failed`.
+   * </pre>
+   *
    * <code>repeated sfixed64 ended = 6;</code>
    * @return The count of ended.
    */
   int getEndedCount();
   /**
+   * <pre>
+   * Ids of jobs that ended, except those in `failed`.
+   * </pre>
+   *
    * <code>repeated sfixed64 ended = 6;</code>
    * @param index The index of the element to return.
    * @return The ended at the given index.
@@ -117,7 +161,7 @@
 
   /**
    * <pre>
-   * Ended work whose endpoint seems to be the cause.
+   * Ids of jobs that ended and whose endpoint seems to be the cause.
    * </pre>
    *
    * <code>repeated sfixed64 failed = 7;</code>
@@ -126,7 +170,7 @@
   java.util.List<java.lang.Long> getFailedList();
   /**
    * <pre>
-   * Ended work whose endpoint seems to be the cause.
+   * Ids of jobs that ended and whose endpoint seems to be the cause.
    * </pre>
    *
    * <code>repeated sfixed64 failed = 7;</code>
@@ -135,7 +179,7 @@
   int getFailedCount();
   /**
    * <pre>
-   * Ended work whose endpoint seems to be the cause.
+   * Ids of jobs that ended and whose endpoint seems to be the cause.
    * </pre>
    *
    * <code>repeated sfixed64 failed = 7;</code>
@@ -146,7 +190,7 @@
 
   /**
    * <pre>
-   * The zone of the endpoints that the report is about; empty when they may be anywhere.
+   * The zone of the endpoints that the report is about. Empty if they may be in any zone.
    * </pre>
    *
    * <code>string about_zone = 8;</code>
@@ -155,7 +199,7 @@
   java.lang.String getAboutZone();
   /**
    * <pre>
-   * The zone of the endpoints that the report is about; empty when they may be anywhere.
+   * The zone of the endpoints that the report is about. Empty if they may be in any zone.
    * </pre>
    *
    * <code>string about_zone = 8;</code>
